--- a/libraries/bench/tarragonward_bench/model_runs.py
+++ b/libraries/bench/tarragonward_bench/model_runs.py
@@ -14,14 +14,14 @@
     AttemptFailed,
     AttemptFault,
     AttemptFinished,
-    CallerLeft,
+    CallerDisconnected,
     CancelAttempt,
-    DeadlinePassed,
+    DeadlineTimerFired,
     DeliverText,
+    DrainTimeoutExpired,
     Effect,
     EndRequest,
     Event,
-    HostStopping,
     PlacementRefused,
     RequestLifecycle,
     RetryBudget,
@@ -141,7 +141,7 @@
             run = _Run(number, f"prompt {number}", tokens, lifecycle)
             self._runs.append(run)
             self._apply_all(run, lifecycle.start(self.now))
-            self._after(limit, lambda: self._tell(run, DeadlinePassed()))
+            self._after(limit, lambda: self._tell(run, DeadlineTimerFired()))
 
         return make
 
@@ -249,11 +249,11 @@
 
     def _leave(self) -> None:
         if self._runs:
-            self._tell(self._random.choice(self._runs), CallerLeft())
+            self._tell(self._random.choice(self._runs), CallerDisconnected())
 
     def _stop(self) -> None:
         if self._runs:
-            self._tell(self._random.choice(self._runs), HostStopping())
+            self._tell(self._random.choice(self._runs), DrainTimeoutExpired())
 
     def _check_end(self) -> None:
         for run in self._runs:
--- a/libraries/daemon/tarragonward_daemon/model_run.py
+++ b/libraries/daemon/tarragonward_daemon/model_run.py
@@ -28,14 +28,14 @@
     AttemptFailed,
     AttemptFault,
     AttemptFinished,
-    CallerLeft,
+    CallerDisconnected,
     CancelAttempt,
-    DeadlinePassed,
+    DeadlineTimerFired,
     DeliverText,
+    DrainTimeoutExpired,
     Effect,
     EndRequest,
     Event,
-    HostStopping,
     OutlierDetector,
     PlacementRefused,
     RequestLifecycle,
@@ -179,7 +179,7 @@
     async def async_unload(self) -> None:
         """Release what the request still holds, however it ended."""
         if not self._lifecycle.has_ended:
-            self._lifecycle.handle(CallerLeft(), self._loop.time())
+            self._lifecycle.handle(CallerDisconnected(), self._loop.time())
         await self._async_leave_attempt()
         await self._group.async_release()
         self._shared.placement.release(self._request_id)
@@ -188,14 +188,14 @@
         """End the request before anything that waits in its queue."""
         while not self._events.empty():
             self._events.get_nowait()
-        self._events.put_nowait(HostStopping())
+        self._events.put_nowait(DrainTimeoutExpired())
 
     async def _async_next_event(self) -> Event:
         try:
             async with asyncio.timeout_at(self._lifecycle.deadline):
                 return await self._events.get()
         except TimeoutError:
-            return DeadlinePassed()
+            return DeadlineTimerFired()
 
     async def _async_attempt(self, attempt: _Attempt, effect: StartAttempt) -> None:
         try:
@@ -217,7 +217,7 @@
         # work for a caller that has given up. A pause after this check costs no more
         # than the engine's work until the deadline's event cancels the stream.
         if self._loop.time() >= self._lifecycle.deadline:
-            return DeadlinePassed()
+            return DeadlineTimerFired()
         stream = attempt.resumed
         if stream is not None and self._shared.is_leaving(stream.target):
             self._shared.releases.release_stream(stream.target, stream.stream_id)
--- a/libraries/requests/tarragonward_requests/lifecycle.py
+++ b/libraries/requests/tarragonward_requests/lifecycle.py
@@ -11,14 +11,14 @@
     AttemptFailed,
     AttemptFault,
     AttemptFinished,
-    CallerLeft,
+    CallerDisconnected,
     CancelAttempt,
-    DeadlinePassed,
+    DeadlineTimerFired,
     DeliverText,
+    DrainTimeoutExpired,
     Effect,
     EndRequest,
     Event,
-    HostStopping,
     PlacementRefused,
     StartAttempt,
     TextArrived,
@@ -71,7 +71,7 @@
         # A process that was paused wakes with events that came long ago. Symptom: it
         # gives out text, or starts an attempt, for a caller that has long given up.
         # The check is enough here because no await stands between it and the effects.
-        if now >= self.deadline and not isinstance(event, CallerLeft):
+        if now >= self.deadline and not isinstance(event, CallerDisconnected):
             return self._end(ResultCode.DEADLINE_EXCEEDED)
         return _handle(event, self, now)
 
@@ -199,7 +199,7 @@
 def _(event: AttemptFailed, lifecycle: RequestLifecycle, now: float) -> list[Effect]:
     if event.attempt != lifecycle._attempt:
         return []
-    if not event.fault.is_before_run:
+    if not event.fault.proves_not_run:
         lifecycle._note_run()
     if lifecycle._has_ended_engine(event.fault):
         lifecycle._ended_engines += 1
@@ -222,17 +222,23 @@
 
 
 @_handle.register
-def _(event: CallerLeft, lifecycle: RequestLifecycle, now: float) -> list[Effect]:
+def _(
+    event: CallerDisconnected, lifecycle: RequestLifecycle, now: float
+) -> list[Effect]:
     return lifecycle._end(ResultCode.CALLER_LEFT)
 
 
 @_handle.register
-def _(event: DeadlinePassed, lifecycle: RequestLifecycle, now: float) -> list[Effect]:
+def _(
+    event: DeadlineTimerFired, lifecycle: RequestLifecycle, now: float
+) -> list[Effect]:
     return []
 
 
 @_handle.register
-def _(event: HostStopping, lifecycle: RequestLifecycle, now: float) -> list[Effect]:
+def _(
+    event: DrainTimeoutExpired, lifecycle: RequestLifecycle, now: float
+) -> list[Effect]:
     return lifecycle._end(
         ResultCode.HOST_STOPPED, retry_after_seconds=c.DEFAULT_RETRY_AFTER_SECONDS
     )
--- a/libraries/requests/tarragonward_requests/messages.py
+++ b/libraries/requests/tarragonward_requests/messages.py
@@ -11,14 +11,14 @@
     "AttemptFailed",
     "AttemptFault",
     "AttemptFinished",
-    "CallerLeft",
+    "CallerDisconnected",
     "CancelAttempt",
-    "DeadlinePassed",
+    "DeadlineTimerFired",
     "DeliverText",
+    "DrainTimeoutExpired",
     "Effect",
     "EndRequest",
     "Event",
-    "HostStopping",
     "PlacementRefused",
     "StartAttempt",
     "TextArrived",
@@ -36,7 +36,7 @@
     INVALID = "invalid"
 
     @property
-    def is_before_run(self) -> bool:
+    def proves_not_run(self) -> bool:
         """Return whether the engine certainly ran nothing of the attempt."""
         return self in (AttemptFault.NOT_CONNECTED, AttemptFault.REFUSED)
 
@@ -80,17 +80,17 @@
 
 
 @dataclass(frozen=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller closed its connection."""
 
 
 @dataclass(frozen=True)
-class DeadlinePassed:
+class DeadlineTimerFired:
     """The time limit may have passed; also sent after a pause of the process."""
 
 
 @dataclass(frozen=True)
-class HostStopping:
+class DrainTimeoutExpired:
     """The host's time to drain is over."""
 
 
@@ -99,9 +99,9 @@
     | AttemptFinished
     | AttemptFailed
     | PlacementRefused
-    | CallerLeft
-    | DeadlinePassed
-    | HostStopping
+    | CallerDisconnected
+    | DeadlineTimerFired
+    | DrainTimeoutExpired
 )
 
 
--- a/libraries/requests/tests/test_lifecycle.py
+++ b/libraries/requests/tests/test_lifecycle.py
@@ -8,7 +8,7 @@
     AttemptFault,
     AttemptFinished,
     CancelAttempt,
-    DeadlinePassed,
+    DeadlineTimerFired,
     DeliverText,
     EndRequest,
     PlacementRefused,
@@ -131,7 +131,7 @@
 
 
 def test_waking_early_for_the_deadline_changes_nothing(lifecycle):
-    assert lifecycle.handle(DeadlinePassed(), 9.99) == []
+    assert lifecycle.handle(DeadlineTimerFired(), 9.99) == []
 
 
 def test_a_request_that_ends_three_engines_is_given_to_no_fourth():
