--- a/libraries/gateway/tarragonward_gateway/observer.py
+++ b/libraries/gateway/tarragonward_gateway/observer.py
@@ -8,9 +8,9 @@
 from tarragonward_core import Happening, event_log, get_length_class
 from tarragonward_membership import RegisteredTarget
 from tarragonward_requests import (
+    AbortConnection,
     AnswerStarted,
     Blamed,
-    BreakOff,
     EventsGiven,
     ExchangeEffect,
     ExchangeEvent,
@@ -260,7 +260,9 @@
 def _describe_end(effect: ExchangeEffect) -> str:
     if isinstance(effect, Refuse):
         return effect.code.name
-    return OUTCOME_BROKEN_OFF if isinstance(effect, BreakOff) else OUTCOME_ANSWERED
+    return (
+        OUTCOME_BROKEN_OFF if isinstance(effect, AbortConnection) else OUTCOME_ANSWERED
+    )
 
 
 def _read_prompt_tokens(text: str) -> int:
--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -61,7 +61,7 @@
         leader = (self._exchange.is_started and self.left) or self._leader
         placed = await self._async_place(leader if returns else "")
         if placed is None and returns:
-            self._exchange.note_not_returned()
+            self._exchange.cancel_resend()
             if self._exchange.can_send_again(self._loop.time()):
                 placed = await self._async_place()
         if placed is None and self.left:
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -19,16 +19,16 @@
     ReadingPlan,
 )
 from tarragonward_requests import (
+    AbortConnection,
     AnswerStarted,
     Blamed,
-    BreakOff,
-    EventCutter,
     EventsGiven,
+    EventStreamSplitter,
     Exchange,
     ExchangeEffect,
     ExchangeEvent,
     ExchangePolicy,
-    GiveAnswer,
+    ForwardAnswer,
     Refuse,
     SendFailed,
     SendFault,
@@ -133,7 +133,7 @@
         self._observer.end()
 
     async def _async_run(self) -> None:
-        effect = self._judge() or self._exchange.begin()
+        effect = self._judge() or self._exchange.start()
         try:
             async with asyncio.timeout_at(self._context.limit_at):
                 while isinstance(effect, SendTo):
@@ -157,7 +157,7 @@
             self._mover.is_moving
             or self._state.may_repeat(service, is_urgent=is_started)
         )
-        effect = self._exchange.hear(event, now, budget=may_repeat)
+        effect = self._exchange.handle(event, now, has_budget=may_repeat)
         if isinstance(effect, SendTo) and effect.is_repeat:
             self._repeat_at = (
                 self._mover.repeat_at
@@ -170,7 +170,7 @@
         return effect
 
     async def _async_end(self, effect: ExchangeEffect | None) -> None:
-        if isinstance(effect, GiveAnswer):
+        if isinstance(effect, ForwardAnswer):
             assert self._answer is not None
             status, headers, body = self._answer
             self._observer.note_status(status)
@@ -180,7 +180,7 @@
             await async_send_refusal(
                 self._responder, effect.code, effect.retry_after_seconds
             )
-        elif isinstance(effect, BreakOff):
+        elif isinstance(effect, AbortConnection):
             raise ConnectionAbortedError("the answer ends early")
 
     def _judge(self) -> ExchangeEffect | None:
@@ -195,7 +195,7 @@
         return None
 
     async def _async_send(self, effect: SendTo) -> ExchangeEffect | None:
-        placed = await self._placer.async_place(effect.returns)
+        placed = await self._placer.async_place(effect.to_previous_target)
         if placed is None:
             self._observer.note_choice(None, tried=len(self._placer.tried))
             self._return_repeat()
@@ -294,7 +294,7 @@
                     headers=self._build_headers(choice, effect, left),
                     body=self._request.body,
                     connect_timeout=min(c.CONNECT_SECONDS, left),
-                    before_write=self._exchange.note_sent,
+                    before_write=self._exchange.record_sent,
                     unreachable_timeout=c.TARGET_UNREACHABLE_SECONDS,
                 )
             )
@@ -377,7 +377,7 @@
                 status=stream.status,
                 at_target=at_fault,
             )
-            return SendFailed(SendFault.NOT_RUN, is_others_fault=is_helpers_fault)
+            return SendFailed(SendFault.NOT_RUN, is_helper_fault=is_helpers_fault)
         self._head.check(stream)
         is_stream = stream.headers.get(CONTENT_TYPE, "").startswith(EVENT_STREAM)
         if is_stream and stream.status == STATUS_OK:
@@ -401,10 +401,10 @@
     async def _async_pass_events(
         self, choice: SendChoice, stream: HttpStream
     ) -> ExchangeEvent | None:
-        cutter = EventCutter()
+        splitter = EventStreamSplitter()
         async for data in stream.async_iterate_chunks():
             try:
-                events = cutter.cut(data)
+                events = splitter.split(data)
             except ValueError as err:
                 raise SpoiledAnswerError(str(err)) from None
             if events:
@@ -416,7 +416,7 @@
                 choice.reading_since = self._loop.time()
                 if self._watch is not None:
                     self._watch.resume()
-        if cutter.has_rest:
+        if splitter.has_partial_event:
             raise SpoiledAnswerError("the stream ended within an event")
         if not self._exchange.is_started:
             # Only a stream that the caller had up to its last event may be empty.
@@ -441,15 +441,15 @@
         has_gap = False
         for event in events:
             last_id = self._exchange.last_id
-            if event.number is not None and last_id is not None:
-                if event.number <= last_id:
+            if event.event_id is not None and last_id is not None:
+                if event.event_id <= last_id:
                     continue
-                has_gap = event.number != last_id + 1
+                has_gap = event.event_id != last_id + 1
                 if has_gap:
                     break
             given.append(event.data)
-            if event.number is not None:
-                self._hear(EventsGiven(event.number))
+            if event.event_id is not None:
+                self._hear(EventsGiven(event.event_id))
         if given and not self._exchange.is_started:
             self._start_answer(stream)
         # What was noted as given goes out before the stream goes on elsewhere after it.
--- a/libraries/requests/tarragonward_requests/__init__.py
+++ b/libraries/requests/tarragonward_requests/__init__.py
@@ -1,16 +1,16 @@
 """Decisions, without I/O, about model requests and non-idempotent calls."""
 
-from .events import EventCutter, StreamEvent
+from .events import EventStreamSplitter, StreamEvent
 from .exchange import (
+    AbortConnection,
     AnswerStarted,
     Blamed,
-    BreakOff,
     EventsGiven,
     Exchange,
     ExchangeEffect,
     ExchangeEvent,
     ExchangePolicy,
-    GiveAnswer,
+    ForwardAnswer,
     Refuse,
     SendFailed,
     SendFault,
@@ -46,12 +46,12 @@
 
 __all__ = [
     "FINGERPRINT_BYTES",
+    "AbortConnection",
     "AnswerStarted",
     "AttemptFailed",
     "AttemptFault",
     "AttemptFinished",
     "Blamed",
-    "BreakOff",
     "BudgetBounds",
     "CallKey",
     "CallLedger",
@@ -64,13 +64,13 @@
     "Effect",
     "EndRequest",
     "Event",
-    "EventCutter",
+    "EventStreamSplitter",
     "EventsGiven",
     "Exchange",
     "ExchangeEffect",
     "ExchangeEvent",
     "ExchangePolicy",
-    "GiveAnswer",
+    "ForwardAnswer",
     "HeldMemory",
     "ListLifetime",
     "OutlierDetector",
--- a/libraries/requests/tarragonward_requests/events.py
+++ b/libraries/requests/tarragonward_requests/events.py
@@ -5,10 +5,10 @@
 import re
 from dataclasses import dataclass
 
-__all__ = ["EventCutter", "StreamEvent"]
+__all__ = ["EventStreamSplitter", "StreamEvent"]
 
 # Lines may end in either way. Source: the HTML standard, section 9.2.5.
-EVENT_END = re.compile(rb"\r?\n\r?\n")
+EVENT_BOUNDARY = re.compile(rb"\r?\n\r?\n")
 ID_FIELD = b"id:"
 MAX_EVENT_BYTES = 1024 * 1024
 
@@ -18,10 +18,10 @@
     """One whole event with its blank line; number is its id, None where it has none."""
 
     data: bytes
-    number: int | None
+    event_id: int | None
 
 
-class EventCutter:
+class EventStreamSplitter:
     """Hold back what has come of an event until the event is whole.
 
     A target may end within an event. Symptom of passing bytes on as they come: the
@@ -29,31 +29,31 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
 
     @property
-    def has_rest(self) -> bool:
-        """Return whether a part of an event is held back."""
-        return bool(self._rest)
+    def has_partial_event(self) -> bool:
+        """Return whether a part of an event is buffered."""
+        return bool(self._partial)
 
-    def cut(self, data: bytes) -> list[StreamEvent]:
+    def split(self, data: bytes) -> list[StreamEvent]:
         """Take more bytes and return the events that they complete.
 
         Raise ValueError for an event without end.
         """
-        held = self._rest + data
+        buffered = self._partial + data
         events, start = [], 0
-        for end in EVENT_END.finditer(held):
-            event = held[start : end.end()]
-            events.append(StreamEvent(event, _find_number(event)))
+        for end in EVENT_BOUNDARY.finditer(buffered):
+            event = buffered[start : end.end()]
+            events.append(StreamEvent(event, _find_event_id(event)))
             start = end.end()
-        self._rest = held[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._partial = buffered[start:]
+        if len(self._partial) > MAX_EVENT_BYTES:
             raise ValueError("an event is too large")
         return events
 
 
-def _find_number(event: bytes) -> int | None:
+def _find_event_id(event: bytes) -> int | None:
     for line in event.split(b"\n"):
         if line.startswith(ID_FIELD):
             text = line[len(ID_FIELD) :].strip()
--- a/libraries/requests/tarragonward_requests/exchange.py
+++ b/libraries/requests/tarragonward_requests/exchange.py
@@ -11,15 +11,15 @@
 from . import const as c
 
 __all__ = [
+    "AbortConnection",
     "AnswerStarted",
     "Blamed",
-    "BreakOff",
     "EventsGiven",
     "Exchange",
     "ExchangeEffect",
     "ExchangeEvent",
     "ExchangePolicy",
-    "GiveAnswer",
+    "ForwardAnswer",
     "Refuse",
     "SendFailed",
     "SendFault",
@@ -41,7 +41,7 @@
     MOVED = "moved"
 
     @property
-    def has_surely_not_run(self) -> bool:
+    def proves_not_run(self) -> bool:
         """Return whether the target certainly ran nothing."""
         return self in (
             SendFault.NO_TARGET,
@@ -64,12 +64,12 @@
 class SendFailed:
     """A send ended without an answer.
 
-    is_others_fault: the target refused it, as another one that should help it can't.
+    is_helper_fault: the target refused it, as another one that should help it can't.
     """
 
     fault: SendFault
     retry_after_seconds: float | None = None
-    is_others_fault: bool = False
+    is_helper_fault: bool = False
 
 
 @dataclass(frozen=True)
@@ -117,11 +117,11 @@
     last_id: int | None
     is_repeat: bool
     delay_seconds: float = 0.0
-    returns: bool = False
+    to_previous_target: bool = False
 
 
 @dataclass(frozen=True)
-class GiveAnswer:
+class ForwardAnswer:
     """Pass the target's answer on as it is."""
 
 
@@ -134,14 +134,14 @@
 
 
 @dataclass(frozen=True)
-class BreakOff:
+class AbortConnection:
     """Close the caller's connection in the middle of its answer, visibly."""
 
 
 ExchangeEvent = (
     SendFailed | TargetAnswered | AnswerStarted | EventsGiven | TimeOver | Blamed
 )
-ExchangeEffect = SendTo | GiveAnswer | Refuse | BreakOff
+ExchangeEffect = SendTo | ForwardAnswer | Refuse | AbortConnection
 
 
 class Exchange:
@@ -157,9 +157,9 @@
         self.sends = 0
         self._possible_runs = 0
         self._returns = 0
-        self._has_left = False
+        self._has_abandoned_target = False
         # Whether a target's own failure, a whole answer, is held during a repeat.
-        self.holds_answer = False
+        self.has_held_answer = False
         self.is_started = False
         self.has_ended = False
 
@@ -168,11 +168,11 @@
         """Return whether a target may have run any of the request."""
         return self._possible_runs > 0
 
-    def begin(self) -> SendTo:
+    def start(self) -> SendTo:
         """Return the first send."""
         return SendTo(self.last_id, is_repeat=False)
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Note that the first byte is about to be written to a target."""
         invariants.check(
             self.policy.may_run_again or not self.may_have_run, "sent_at_most_once"
@@ -181,26 +181,26 @@
         self.sends += 1
         self._possible_runs += 1
 
-    def note_not_run(self) -> None:
+    def record_not_run(self) -> None:
         """Note that the target which had the request last has proved not to run it."""
         self._possible_runs -= 1
 
-    def may_return(self, refusal: SendFailed, now: float) -> bool:
+    def has_previous_target(self, refusal: SendFailed, now: float) -> bool:
         """Return whether a refusal leaves a target that had the request to go back to.
 
         A stream that moved, and is refused where it went, has used up its targets.
         Symptom: it is broken off, though the one that it came from is at work. One
         whose target is gone has none to go back to.
         """
-        is_used_up = self.is_started and not self.can_send_again(now)
-        is_stranded = is_used_up and self._has_left
-        return refusal.is_others_fault or is_stranded
+        is_out_of_sends = self.is_started and not self.can_send_again(now)
+        is_move_refused = is_out_of_sends and self._has_abandoned_target
+        return refusal.is_helper_fault or is_move_refused
 
-    def note_left(self) -> None:
+    def record_abandoned(self) -> None:
         """Note that a target was left while it was at work."""
-        self._has_left = True
+        self._has_abandoned_target = True
 
-    def return_send(self, now: float) -> bool:
+    def try_resend(self, now: float) -> bool:
         """Return whether the last target may get the request again, and count it.
 
         Engines that leave while the registry is silent refuse to help, one after the
@@ -216,7 +216,7 @@
         self.sends -= 1
         return True
 
-    def go_back(self, now: float) -> bool:
+    def try_abandoned_target(self, now: float) -> bool:
         """Return whether a stream that was lost goes back to the target that it left.
 
         A stream leaves a target that is at work for another one, which may have
@@ -225,21 +225,23 @@
         broken off on two days with crashes among 18 engines. The send still counts, so
         that no third target follows; once, as what is lost there too has nowhere to go.
         """
-        if not (self.is_started and self._has_left) or self.can_send_again(now):
+        if not (self.is_started and self._has_abandoned_target) or self.can_send_again(
+            now
+        ):
             return False
-        self._has_left = False
+        self._has_abandoned_target = False
         return self.policy.deadline - now > c.MIN_SEND_SECONDS
 
-    def note_not_returned(self) -> None:
+    def cancel_resend(self) -> None:
         """Note that the last target could not be sent to again, so it counts."""
         self.sends += 1
 
-    def hear(
-        self, event: ExchangeEvent, now: float, budget: bool
+    def handle(
+        self, event: ExchangeEvent, now: float, has_budget: bool
     ) -> ExchangeEffect | None:
-        """Take an event; budget tells whether one more send is within the budget."""
-        effect = _hear(event, self, now, budget)
-        if isinstance(effect, (GiveAnswer, Refuse, BreakOff)):
+        """Handle an event; has_budget tells whether the budget allows one more send."""
+        effect = _handle(event, self, now, has_budget)
+        if isinstance(effect, (ForwardAnswer, Refuse, AbortConnection)):
             invariants.check(not self.has_ended, "one_terminal_answer")
             self.has_ended = True
         return effect
@@ -251,15 +253,17 @@
         has_time = self.policy.deadline - now > c.MIN_SEND_SECONDS
         return has_time and self.sends < self.policy.attempts
 
-    def end(self, retry_after_seconds: float | None = None) -> ExchangeEffect:
+    def choose_final_effect(
+        self, retry_after_seconds: float | None = None
+    ) -> ExchangeEffect:
         """Return the end of a request that nothing more is tried for."""
         if self.is_started:
-            return BreakOff()
+            return AbortConnection()
         # A target failed the request, and the repeat brought nothing. Symptom: the
         # caller hears "may have run" and never what the target said. The answer is
         # whole and its own, so it may be given at any time before the head.
-        if self.holds_answer:
-            return GiveAnswer()
+        if self.has_held_answer:
+            return ForwardAnswer()
         if self.may_have_run:
             return Refuse(ResultCode.FORWARD_OUTCOME_UNKNOWN)
         wait = retry_after_seconds
@@ -269,52 +273,56 @@
 
 
 @singledispatch
-def _hear(
-    event: ExchangeEvent, exchange: Exchange, now: float, budget: bool
+def _handle(
+    event: ExchangeEvent, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
     raise TypeError(f"not an event: {event!r}")
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: SendFailed, exchange: Exchange, now: float, budget: bool
+    event: SendFailed, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
     if event.fault in (SendFault.MOVED, SendFault.SILENT):
-        exchange.note_left()
+        exchange.record_abandoned()
     if event.fault is SendFault.NOT_RUN:
-        exchange.note_not_run()
-        if exchange.may_return(event, now) and budget and exchange.return_send(now):
-            return SendTo(exchange.last_id, is_repeat=True, returns=True)
+        exchange.record_not_run()
+        if (
+            exchange.has_previous_target(event, now)
+            and has_budget
+            and exchange.try_resend(now)
+        ):
+            return SendTo(exchange.last_id, is_repeat=True, to_previous_target=True)
     is_lost = event.fault in (SendFault.LOST, SendFault.SPOILED)
-    if is_lost and budget and exchange.go_back(now):
-        return SendTo(exchange.last_id, is_repeat=True, returns=True)
+    if is_lost and has_budget and exchange.try_abandoned_target(now):
+        return SendTo(exchange.last_id, is_repeat=True, to_previous_target=True)
     if event.fault is SendFault.NO_TARGET:
-        return exchange.end(event.retry_after_seconds)
-    if exchange.can_send_again(now) and (budget or not exchange.sends):
+        return exchange.choose_final_effect(event.retry_after_seconds)
+    if exchange.can_send_again(now) and (has_budget or not exchange.sends):
         return SendTo(exchange.last_id, is_repeat=exchange.sends > 0)
-    return exchange.end(event.retry_after_seconds)
+    return exchange.choose_final_effect(event.retry_after_seconds)
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: TargetAnswered, exchange: Exchange, now: float, budget: bool
+    event: TargetAnswered, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
     # A whole answer in place of a stream's rest cannot follow what was given of it.
     is_failure = event.is_failure or exchange.is_started
-    exchange.holds_answer = True
-    can_repeat = is_failure and exchange.policy.may_run_again and budget
+    exchange.has_held_answer = True
+    can_repeat = is_failure and exchange.policy.may_run_again and has_budget
     if can_repeat and exchange.can_send_again(now):
         return SendTo(exchange.last_id, is_repeat=True)
-    return BreakOff() if exchange.is_started else GiveAnswer()
+    return AbortConnection() if exchange.is_started else ForwardAnswer()
 
 
-@_hear.register
-def _(event: AnswerStarted, exchange: Exchange, now: float, budget: bool) -> None:
+@_handle.register
+def _(event: AnswerStarted, exchange: Exchange, now: float, has_budget: bool) -> None:
     exchange.is_started = True
 
 
-@_hear.register
-def _(event: EventsGiven, exchange: Exchange, now: float, budget: bool) -> None:
+@_handle.register
+def _(event: EventsGiven, exchange: Exchange, now: float, has_budget: bool) -> None:
     previous = exchange.last_id
     invariants.check(
         previous is None or event.last_id > previous, "event_ids_only_grow"
@@ -322,22 +330,22 @@
     exchange.last_id = event.last_id
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: TimeOver, exchange: Exchange, now: float, budget: bool
+    event: TimeOver, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
-    is_unknown = exchange.may_have_run and not exchange.holds_answer
+    is_unknown = exchange.may_have_run and not exchange.has_held_answer
     if is_unknown and not exchange.is_started:
         return Refuse(ResultCode.FORWARD_TIMEOUT)
-    return exchange.end()
+    return exchange.choose_final_effect()
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: Blamed, exchange: Exchange, now: float, budget: bool
+    event: Blamed, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
-    if exchange.is_started or exchange.holds_answer:
-        return exchange.end()
+    if exchange.is_started or exchange.has_held_answer:
+        return exchange.choose_final_effect()
     if exchange.may_have_run:
         return Refuse(ResultCode.FORWARD_CRASHED_TARGETS)
     if event.trial_seconds is None:
--- a/libraries/requests/tests/test_events.py
+++ b/libraries/requests/tests/test_events.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tarragonward_requests import EventCutter
+from tarragonward_requests import EventStreamSplitter
 
 EVENTS = [
     b"id: 1\ndata: a\n\n",
@@ -17,24 +17,24 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1_000])
 def test_events_are_the_same_however_their_bytes_come(size):
     stream = b"".join(EVENTS)
-    cutter = EventCutter()
+    splitter = EventStreamSplitter()
     events = []
     for start in range(0, len(stream), size):
-        events += cutter.cut(stream[start : start + size])
+        events += splitter.split(stream[start : start + size])
     assert [event.data for event in events] == EVENTS
-    assert [event.number for event in events] == NUMBERS
-    assert not cutter.has_rest
+    assert [event.event_id for event in events] == NUMBERS
+    assert not splitter.has_partial_event
 
 
 def test_a_part_of_an_event_is_held_back():
-    cutter = EventCutter()
-    assert cutter.cut(b"id: 1\ndata: a\n") == []
-    assert cutter.has_rest
-    (event,) = cutter.cut(b"\nid: 2")
+    splitter = EventStreamSplitter()
+    assert splitter.split(b"id: 1\ndata: a\n") == []
+    assert splitter.has_partial_event
+    (event,) = splitter.split(b"\nid: 2")
     assert event.data == b"id: 1\ndata: a\n\n"
-    assert cutter.has_rest
+    assert splitter.has_partial_event
 
 
 def test_an_event_without_end_is_refused():
     with pytest.raises(ValueError, match="too large"):
-        EventCutter().cut(b"x" * 1_100_000)
+        EventStreamSplitter().split(b"x" * 1_100_000)
--- a/libraries/requests/tests/test_exchange.py
+++ b/libraries/requests/tests/test_exchange.py
@@ -7,12 +7,12 @@
 
 from tarragonward_core import ResultCode, invariants
 from tarragonward_requests import (
+    AbortConnection,
     AnswerStarted,
-    BreakOff,
     EventsGiven,
     Exchange,
     ExchangePolicy,
-    GiveAnswer,
+    ForwardAnswer,
     Refuse,
     SendFailed,
     SendFault,
@@ -53,9 +53,9 @@
         fate = self.random.random()
         if fate < 0.1:
             return SendFailed(SendFault.NOT_CONNECTED)
-        exchange.note_sent()
+        exchange.record_sent()
         if fate < 0.3:
-            return SendFailed(SendFault.NOT_RUN, 0.1, is_others_fault=fate < 0.2)
+            return SendFailed(SendFault.NOT_RUN, 0.1, is_helper_fault=fate < 0.2)
         has_run = fate < 0.9
         self.runs += has_run
         if not has_run or fate < 0.5:
@@ -74,9 +74,9 @@
         for number in range(first, stop):
             if not exchange.is_started:
                 assert not self.has_head
-                exchange.hear(AnswerStarted(), now, True)
+                exchange.handle(AnswerStarted(), now, True)
                 self.has_head = True
-            exchange.hear(EventsGiven(number), now, True)
+            exchange.handle(EventsGiven(number), now, True)
             self.given.append(number)
         if stop <= STREAM_LENGTH or not self.given:
             return SendFailed(SendFault.LOST)
@@ -90,11 +90,11 @@
     is_stream = rng.random() < 0.5
     policy = ExchangePolicy(rng.random() < 0.5, is_stream, rng.randint(1, 4), DEADLINE)
     exchange, world, now = Exchange(policy), World(rng, policy), 0.0
-    effect = exchange.begin()
+    effect = exchange.start()
     while isinstance(effect, SendTo):
         now += rng.choice([0.0, 0.1, 4.0])
         if now >= DEADLINE:
-            effect = exchange.hear(TimeOver(), now, True)
+            effect = exchange.handle(TimeOver(), now, True)
             break
         if rng.random() < 0.1:
             event = SendFailed(SendFault.NO_TARGET)
@@ -103,7 +103,7 @@
         if event is None:
             effect = None
             break
-        effect = exchange.hear(event, now, budget=rng.random() < 0.8)
+        effect = exchange.handle(event, now, has_budget=rng.random() < 0.8)
     return exchange, world, effect
 
 
@@ -124,9 +124,9 @@
                 ResultCode.FORWARD_OUTCOME_UNKNOWN,
                 ResultCode.FORWARD_TIMEOUT,
             )
-    if isinstance(effect, GiveAnswer):
+    if isinstance(effect, ForwardAnswer):
         assert not world.has_head
-    if isinstance(effect, BreakOff):
+    if isinstance(effect, AbortConnection):
         assert world.has_head
     assert world.given == list(range(1, len(world.given) + 1))
     if world.is_whole:
@@ -151,22 +151,22 @@
 
 def test_nothing_is_sent_after_the_end():
     exchange = Exchange(ExchangePolicy(True, False, 3, DEADLINE))
-    exchange.begin()
-    exchange.note_sent()
-    assert isinstance(exchange.hear(TargetAnswered(False), 0.0, True), GiveAnswer)
+    exchange.start()
+    exchange.record_sent()
+    assert isinstance(exchange.handle(TargetAnswered(False), 0.0, True), ForwardAnswer)
     with pytest.raises(Exception, match="nothing_sent_after_the_end"):
-        exchange.note_sent()
+        exchange.record_sent()
     with pytest.raises(Exception, match="one_terminal_answer"):
-        exchange.hear(TimeOver(), 0.0, True)
+        exchange.handle(TimeOver(), 0.0, True)
 
 
 def test_a_second_send_of_what_may_have_run_is_stopped():
     """A decision that sends a booking again in error is stopped at its first byte."""
     exchange = Exchange(ExchangePolicy(False, False, 3, DEADLINE))
-    exchange.begin()
-    exchange.note_sent()
+    exchange.start()
+    exchange.record_sent()
     with pytest.raises(Exception, match="sent_at_most_once"):
-        exchange.note_sent()
+        exchange.record_sent()
 
 
 @pytest.mark.parametrize(
@@ -185,18 +185,18 @@
     whole and true: it is held while the request is repeated, and given at the end.
     """
     exchange = Exchange(ExchangePolicy(True, False, 2, DEADLINE))
-    exchange.begin()
-    exchange.note_sent()
-    effect = exchange.hear(TargetAnswered(is_failure=True), 0.0, True)
+    exchange.start()
+    exchange.record_sent()
+    effect = exchange.handle(TargetAnswered(is_failure=True), 0.0, True)
     assert effect == SendTo(None, is_repeat=True)
     is_sent = not isinstance(event, SendFailed) or event.fault not in (
         SendFault.NO_TARGET,
         SendFault.NOT_CONNECTED,
     )
     if is_sent:
-        exchange.note_sent()
-    effect = exchange.hear(event, 1.0, budget=False)
-    assert effect == GiveAnswer()
+        exchange.record_sent()
+    effect = exchange.handle(event, 1.0, has_budget=False)
+    assert effect == ForwardAnswer()
 
 
 def test_a_refusal_for_another_ones_fault_is_no_send_of_the_route():
@@ -207,14 +207,14 @@
     """
     policy = ExchangePolicy(True, True, attempts=2, deadline=DEADLINE)
     exchange = Exchange(policy)
-    refusal = SendFailed(SendFault.NOT_RUN, is_others_fault=True)
+    refusal = SendFailed(SendFault.NOT_RUN, is_helper_fault=True)
     effects = []
-    effect = exchange.begin()
+    effect = exchange.start()
     while isinstance(effect, SendTo):
-        exchange.note_sent()
-        effect = exchange.hear(refusal, 0.0, budget=True)
+        exchange.record_sent()
+        effect = exchange.handle(refusal, 0.0, has_budget=True)
         effects.append(effect)
-    returns = [isinstance(each, SendTo) and each.returns for each in effects]
+    returns = [isinstance(each, SendTo) and each.to_previous_target for each in effects]
     assert returns == [True] * c.MAX_RETURNS + [False, False]
     assert isinstance(effects[-1], Refuse)
     assert all(each.is_repeat for each in effects[:-1])
@@ -230,14 +230,14 @@
     left an engine at work has that one.
     """
     exchange = Exchange(ExchangePolicy(True, True, attempts=2, deadline=DEADLINE))
-    exchange.begin()
-    exchange.note_sent()
-    exchange.hear(AnswerStarted(), 0.0, budget=True)
-    exchange.hear(SendFailed(SendFault[fault]), 0.0, budget=True)
-    exchange.note_sent()
-    effect = exchange.hear(SendFailed(SendFault.NOT_RUN), 0.0, budget=True)
-    assert isinstance(effect, SendTo if returns else BreakOff)
-    assert not returns or effect.returns
+    exchange.start()
+    exchange.record_sent()
+    exchange.handle(AnswerStarted(), 0.0, has_budget=True)
+    exchange.handle(SendFailed(SendFault[fault]), 0.0, has_budget=True)
+    exchange.record_sent()
+    effect = exchange.handle(SendFailed(SendFault.NOT_RUN), 0.0, has_budget=True)
+    assert isinstance(effect, SendTo if returns else AbortConnection)
+    assert not returns or effect.to_previous_target
 
 
 @pytest.mark.parametrize("fault", [SendFault.LOST, SendFault.NOT_CONNECTED])
@@ -249,14 +249,14 @@
     operator allows.
     """
     exchange = Exchange(ExchangePolicy(True, True, attempts=2, deadline=DEADLINE))
-    exchange.begin()
-    exchange.note_sent()
-    exchange.hear(AnswerStarted(), 0.1, budget=True)
-    exchange.hear(EventsGiven(2), 0.1, budget=True)
-    exchange.hear(SendFailed(SendFault.MOVED), 0.2, budget=True)
-    exchange.note_sent()
-    back = exchange.hear(SendFailed(SendFault.LOST), 0.3, budget=True)
-    assert back == SendTo(2, is_repeat=True, returns=True)
+    exchange.start()
+    exchange.record_sent()
+    exchange.handle(AnswerStarted(), 0.1, has_budget=True)
+    exchange.handle(EventsGiven(2), 0.1, has_budget=True)
+    exchange.handle(SendFailed(SendFault.MOVED), 0.2, has_budget=True)
+    exchange.record_sent()
+    back = exchange.handle(SendFailed(SendFault.LOST), 0.3, has_budget=True)
+    assert back == SendTo(2, is_repeat=True, to_previous_target=True)
     if fault is SendFault.LOST:
-        exchange.note_sent()
-    assert exchange.hear(SendFailed(fault), 0.4, budget=True) == BreakOff()
+        exchange.record_sent()
+    assert exchange.handle(SendFailed(fault), 0.4, has_budget=True) == AbortConnection()
