--- a/libraries/bench/tarragonward_bench/reach_runs.py
+++ b/libraries/bench/tarragonward_bench/reach_runs.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from itertools import count
 
-from tarragonward_placement import Evidence, TargetReach
+from tarragonward_placement import Evidence, TargetHealthTracker
 
 __all__ = ["run_reach_seed"]
 
@@ -59,7 +59,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.reach = TargetReach()
+        self.reach = TargetHealthTracker()
         size = self.rng.randint(1, 8)
         self._targets = [
             _Target(f"t{domain}-{number}", f"d{domain}")
@@ -139,7 +139,7 @@
         # Dead targets are idle, so they are the first to be chosen wherever they may.
         dead = [each for each in usable if not self._takes_connections(each)]
         target = self.rng.choice(dead or usable)
-        self.reach.note_chosen(target, self.now)
+        self.reach.start_trial(target, self.now)
         # Where others have only just come back, all may be in doubt, and all are used.
         if target.is_learned and any(self._is_long_well(each) for each in usable):
             target.sends += 1
@@ -160,12 +160,12 @@
         else:
             evidence = Evidence.ANSWERED
         target.is_learned |= evidence is not Evidence.ANSWERED
-        self.reach.hear(target, evidence, self.now)
+        self.reach.observe(target, evidence, self.now)
 
     def _probe(self, target: _Target) -> None:
         def hear() -> None:
             if self._takes_connections(target):
-                self.reach.hear(target, Evidence.CONNECTED, self.now)
+                self.reach.observe(target, Evidence.CONNECTED, self.now)
 
         self._after(self._draw_wait(target), hear)
 
--- a/libraries/bench/tests/test_reach_runs.py
+++ b/libraries/bench/tests/test_reach_runs.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tarragonward_bench.soak import run_seed
-from tarragonward_placement import TargetReach
+from tarragonward_placement import TargetHealthTracker
 from tarragonward_placement import const as c
 
 SEEDS = range(1, 16)
@@ -29,12 +29,12 @@
 @pytest.mark.parametrize(
     ("owner", "name", "fault"),
     [
-        (TargetReach, "take_due_probes", probe_nothing),
-        (TargetReach, "select", select_all),
-        (TargetReach, "_take_in_turn", probe_the_first),
-        (c, "REST_MAX_SECONDS", 30.0),
-        (c, "REST_MAX_BEFORE_REQUEST_SECONDS", 30.0),
-        (c, "REST_MAX_BEFORE_REQUEST_SECONDS", 0.05),
+        (TargetHealthTracker, "take_due_probes", probe_nothing),
+        (TargetHealthTracker, "select", select_all),
+        (TargetHealthTracker, "_pick_domain_probes", probe_the_first),
+        (c, "EJECTION_MAX_SECONDS", 30.0),
+        (c, "REQUEST_TRIAL_MAX_EJECTION_SECONDS", 30.0),
+        (c, "REQUEST_TRIAL_MAX_EJECTION_SECONDS", 0.05),
     ],
 )
 def test_a_view_without_a_safeguard_is_found_out(monkeypatch, owner, name, fault):
--- a/libraries/gateway/tarragonward_gateway/operators.py
+++ b/libraries/gateway/tarragonward_gateway/operators.py
@@ -14,7 +14,7 @@
     invariants,
     log_event,
 )
-from tarragonward_placement import TargetReach
+from tarragonward_placement import TargetHealthTracker
 from tarragonward_wire import HttpRequest, HttpServer, Responder
 
 from . import const as c
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, state: GatewayState, reach: TargetReach, suspects: SuspectWatch
+        self, state: GatewayState, reach: TargetHealthTracker, suspects: SuspectWatch
     ) -> None:
         self._state = state
         self._suspects = suspects
@@ -56,10 +56,10 @@
         self._background = BackgroundTasks(state.metrics)
         _add_gauges(state)
         state.metrics.add_gauge(
-            "targets_resting", "in doubt and left out", lambda: reach.resting
+            "targets_resting", "in doubt and left out", lambda: reach.ejected_count
         )
         state.metrics.add_gauge(
-            "domains_resting", "no link to them", lambda: reach.resting_domains
+            "domains_resting", "no link to them", lambda: reach.ejected_domain_count
         )
         state.metrics.add_gauge(
             "suspects",
--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -48,7 +48,7 @@
         self.left = ""
         self.is_suspect = False
 
-    def note_chosen(self, target: RegisteredTarget) -> None:
+    def start_trial(self, target: RegisteredTarget) -> None:
         """Note that the request goes to a target."""
         self.tried.add(target.id)
         self._leader = target.id
--- a/libraries/gateway/tarragonward_gateway/probes.py
+++ b/libraries/gateway/tarragonward_gateway/probes.py
@@ -9,12 +9,12 @@
 from tarragonward_core import Address, BackgroundTasks, log_event
 from tarragonward_membership import RegisteredTarget
 from tarragonward_placement import (
-    DomainDoubted,
-    DomainRegained,
+    DomainEjected,
+    DomainRestored,
     Evidence,
-    TargetDoubted,
-    TargetReach,
-    TargetRegained,
+    TargetEjected,
+    TargetHealthTracker,
+    TargetRestored,
 )
 from tarragonward_requests import SendFault
 
@@ -34,9 +34,9 @@
 
 
 class TargetProbes:
-    """Connects for TargetReach, which decides; tells it what was seen, and logs it."""
+    """Probes what TargetHealthTracker selects, reports results to it, logs changes."""
 
-    def __init__(self, state: GatewayState, reach: TargetReach) -> None:
+    def __init__(self, state: GatewayState, reach: TargetHealthTracker) -> None:
         self._state = state
         self._reach = reach
         self._probing: set[asyncio.Task[bool]] = set()
@@ -59,19 +59,19 @@
 
     def note(self, target: RegisteredTarget, evidence: Evidence) -> None:
         """Take in what was seen of a target, and log what changes by it."""
-        for effect in self._reach.hear(target, evidence, read_clock()):
-            if isinstance(effect, TargetDoubted):
+        for effect in self._reach.observe(target, evidence, read_clock()):
+            if isinstance(effect, TargetEjected):
                 log_event(
                     "target_doubted",
                     target=target.id,
                     address=target.address,
                     evidence=effect.evidence.value,
                 )
-            elif isinstance(effect, TargetRegained):
+            elif isinstance(effect, TargetRestored):
                 log_event("target_regained", target=target.id)
-            elif isinstance(effect, DomainDoubted):
+            elif isinstance(effect, DomainEjected):
                 log_event("domain_doubted", domain=effect.domain)
-            elif isinstance(effect, DomainRegained):
+            elif isinstance(effect, DomainRestored):
                 log_event("domain_regained", domain=effect.domain)
 
     def note_failed(self, target: RegisteredTarget, fault: SendFault) -> None:
@@ -87,7 +87,7 @@
         """
         named = [h for h in helpers if name in (str(h.address), h.name)]
         for helper in named:
-            self.note(helper, Evidence.NAMED)
+            self.note(helper, Evidence.REPORTED_AT_FAULT)
         return bool(named)
 
     async def async_check(self, targets: Sequence[RegisteredTarget]) -> bool:
@@ -97,7 +97,7 @@
         allows, and the send is spent. A connection to each helper that has not
         answered lately finds out before.
         """
-        unsure = self._reach.get_unsure(targets, read_clock())
+        unsure = self._reach.get_unverified(targets, read_clock())
         reached = await asyncio.gather(*(self._async_probe(each) for each in unsure))
         for target, is_reached in zip(unsure, reached, strict=True):
             if not is_reached:
@@ -132,7 +132,7 @@
         while True:
             await asyncio.sleep(c.PROBE_ROUND_SECONDS)
             registered = self._state.registry.get_all()
-            self._reach.forget_others(registered)
+            self._reach.retain_only(registered)
             for target in self._reach.take_due_probes(registered, read_clock()):
                 task = asyncio.create_task(self._async_probe(target))
                 self._probing.add(task)
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -207,7 +207,7 @@
         self._observer.note_choice(
             target, choice.predicted_at, readers, tried=len(self._placer.tried)
         )
-        self._placer.note_chosen(target)
+        self._placer.start_trial(target)
         try:
             with ExitStack() as stack:
                 if self._placer.is_suspect:
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -20,8 +20,8 @@
     PromptNeed,
     PromptWork,
     ReadingPlan,
+    TargetHealthTracker,
     TargetLimits,
-    TargetReach,
     plan_reading,
     widen_plan,
 )
@@ -132,7 +132,7 @@
         self.limits = TargetLimits(state.random)
         self.on_limit: list[Callable[[int], None]] = []
         self.get_host_view: Callable[[], HostView] = lambda: ALONE
-        self.reach = TargetReach()
+        self.reach = TargetHealthTracker()
         self.probes = TargetProbes(state, self.reach)
 
     def build_digest(self) -> dict[str, list[Any]]:
@@ -147,7 +147,7 @@
         """Return where to send, or None where no target is left."""
         choice = self.find(need)
         if choice is not None:
-            self.reach.note_chosen(choice.target, read_clock())
+            self.reach.start_trial(choice.target, read_clock())
             self.limits.record_send(hash_name(choice.target.id))
         return choice
 
@@ -174,7 +174,7 @@
         has no place yet finds out as soon.
         """
         choice = self.find(need)
-        if choice is None or self.reach.is_in_doubt(choice.target):
+        if choice is None or self.reach.is_ejected(choice.target):
             return None
         return choice
 
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -12,7 +12,7 @@
 from tarragonward_gateway.settings import Bounds
 from tarragonward_gateway.state import GatewayState
 from tarragonward_membership import RegisteredTarget
-from tarragonward_placement import Evidence, TargetReach
+from tarragonward_placement import Evidence, TargetHealthTracker
 from tarragonward_placement import const as placement_const
 from tarragonward_requests import SendFault
 from tarragonward_standins import answer_with, async_reset, refuse_with
@@ -35,7 +35,7 @@
         ]
         for target in self.targets:
             state.registry.apply(target)
-        self.reach = TargetReach()
+        self.reach = TargetHealthTracker()
         self.probes = TargetProbes(state, self.reach)
 
     def select(self):
@@ -90,7 +90,7 @@
 async def test_target_comes_back_once_it_can_be_reached(monkeypatch):
     """No request is spent on trying: a connection without one is enough."""
     monkeypatch.setattr(c, "PROBE_ROUND_SECONDS", 0.01)
-    monkeypatch.setattr(placement_const, "REST_FIRST_SECONDS", 0.02)
+    monkeypatch.setattr(placement_const, "EJECTION_BASE_SECONDS", 0.02)
     server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     doubts = Doubts([("a", Address("127.0.0.1", port)), ("b", CLOSED)])
@@ -137,7 +137,7 @@
     would leave the third one out, which is well, for as long as the two are registered.
     """
     monkeypatch.setattr(c, "PROBE_ROUND_SECONDS", 0.01)
-    monkeypatch.setattr(placement_const, "REST_FIRST_SECONDS", 0.01)
+    monkeypatch.setattr(placement_const, "EJECTION_BASE_SECONDS", 0.01)
     doubts = Doubts([("a", CLOSED)] * 3)
     for target in doubts.targets[:2]:
         doubts.probes.note_failed(target, SendFault.NOT_CONNECTED)
--- a/libraries/gateway/tests/test_prompts.py
+++ b/libraries/gateway/tests/test_prompts.py
@@ -181,7 +181,7 @@
 
     Sent its address, the leader would find out after a stall, and the send be spent.
     """
-    monkeypatch.setattr(placement_const, "REACHED_SECONDS", 0.0)
+    monkeypatch.setattr(placement_const, "CONNECTION_FRESH_SECONDS", 0.0)
     site = await make_engines(*[stream_events([1])] * 3)
     await site.async_ask_prompt("300000,500")
     (leader,) = [target for target in site.targets if target.seen]
--- a/libraries/gateway/tests/test_suspect_task.py
+++ b/libraries/gateway/tests/test_suspect_task.py
@@ -13,7 +13,7 @@
 from tarragonward_gateway.suspect_task import SuspectTask
 from tarragonward_gateway.suspects import SuspectWatch
 from tarragonward_membership import SeedPeer
-from tarragonward_placement import TargetReach
+from tarragonward_placement import TargetHealthTracker
 from tarragonward_requests import Verdict
 
 FINGERPRINT = b"12345678"
@@ -23,7 +23,9 @@
     def __init__(self, state):
         self.state = state
         self.peers = Peers(self.state)
-        self.watch = SuspectWatch(self.state, TargetProbes(self.state, TargetReach()))
+        self.watch = SuspectWatch(
+            self.state, TargetProbes(self.state, TargetHealthTracker())
+        )
         self.task = SuspectTask(self.state, self.peers, self.watch)
         self._stack = AsyncExitStack()
 
--- a/libraries/placement/tarragonward_placement/__init__.py
+++ b/libraries/placement/tarragonward_placement/__init__.py
@@ -32,12 +32,12 @@
 from .placement import Placement
 from .places import PromptNeed
 from .reach import (
-    DomainDoubted,
-    DomainRegained,
+    DomainEjected,
+    DomainRestored,
     Evidence,
-    TargetDoubted,
-    TargetReach,
-    TargetRegained,
+    TargetEjected,
+    TargetHealthTracker,
+    TargetRestored,
 )
 from .readings import ReadingPlan, plan_reading
 from .relocation import gains_by_moving, predict_wait
@@ -49,11 +49,11 @@
     "LimitEntry",
     "TargetLimits",
     "compute_part",
-    "TargetRegained",
-    "TargetDoubted",
+    "TargetRestored",
+    "TargetEjected",
     "Evidence",
-    "DomainRegained",
-    "DomainDoubted",
+    "DomainRestored",
+    "DomainEjected",
     "AccountLimits",
     "BLOCK_TOKENS",
     "CacheUpdate",
@@ -84,7 +84,7 @@
     "ReservationRefused",
     "ReservePart",
     "RetryGroup",
-    "TargetReach",
+    "TargetHealthTracker",
     "choose_cell",
     "divide_hosts",
     "choose_loads",
--- a/libraries/placement/tarragonward_placement/const.py
+++ b/libraries/placement/tarragonward_placement/const.py
@@ -134,21 +134,21 @@
 
 # How long a target or a failure domain in doubt rests before it is connected to again;
 # a request that has to try costs a send, so it waits for longer.
-REST_FIRST_SECONDS = 0.4
-REST_MAX_SECONDS = 1.0
-REST_MAX_BEFORE_REQUEST_SECONDS = 2.0
+EJECTION_BASE_SECONDS = 0.4
+EJECTION_MAX_SECONDS = 1.0
+REQUEST_TRIAL_MAX_EJECTION_SECONDS = 2.0
 # While one request tries a target, the others wait for its answer, so long at most.
-TRIAL_SECONDS = 2.0
+REQUEST_TRIAL_SECONDS = 2.0
 # So many faults that may be one request's alone, in a row, are the target's.
-FAILURES_IN_A_ROW = 2
+CONSECUTIVE_FAULT_THRESHOLD = 2
 # So many targets of a failure domain that can't be connected to within this time, and
 # none that answers between, are its link and not they.
-DOMAIN_TARGETS = 2
-DOMAIN_WINDOW_SECONDS = 1.0
-PROBED_IN_DOMAIN = 2
+DOMAIN_FAILURE_THRESHOLD = 2
+DOMAIN_FAILURE_WINDOW_SECONDS = 1.0
+PROBES_PER_DOMAIN = 2
 # A connection this long ago says that the target is still there.
-REACHED_SECONDS = 0.5
-MAX_DOUBTED = 4_096
+CONNECTION_FRESH_SECONDS = 0.5
+MAX_TRACKED_TARGETS = 4_096
 
 # Requests a second that targets name, shared by hosts without shared state.
 LIMIT_SHARE = 0.9
--- a/libraries/placement/tarragonward_placement/reach.py
+++ b/libraries/placement/tarragonward_placement/reach.py
@@ -12,13 +12,13 @@
 from . import const as c
 
 __all__ = [
-    "DomainDoubted",
-    "DomainRegained",
+    "DomainEjected",
+    "DomainRestored",
     "Evidence",
-    "ReachEffect",
-    "TargetDoubted",
-    "TargetReach",
-    "TargetRegained",
+    "HealthEffect",
+    "TargetEjected",
+    "TargetHealthTracker",
+    "TargetRestored",
 ]
 
 
@@ -31,7 +31,7 @@
     # It closed a connection and takes no other: its link is well.
     ENDED = "ended"
     REPLACED = "replaced"
-    NAMED = "named at fault"
+    REPORTED_AT_FAULT = "named at fault"
     SILENT = "silent"
     LOST = "lost"
     SPOILED = "spoiled"
@@ -39,13 +39,15 @@
 
 
 # Faults that may be one request's alone count only some in a row.
-IN_A_ROW = frozenset({Evidence.LOST, Evidence.SPOILED, Evidence.FAILED})
+CONSECUTIVE_FAULTS = frozenset({Evidence.LOST, Evidence.SPOILED, Evidence.FAILED})
 # What one request has to try: a connection proves nothing of it.
 # A target that leaves takes connections and refuses to help others.
-BY_REQUEST = frozenset({Evidence.REPLACED, Evidence.FAILED, Evidence.NAMED})
+NEEDS_REQUEST_TRIAL = frozenset(
+    {Evidence.REPLACED, Evidence.FAILED, Evidence.REPORTED_AT_FAULT}
+)
 
 
-class Placed(Protocol):
+class TargetLocation(Protocol):
     """What has a target's id and place."""
 
     @property
@@ -57,11 +59,11 @@
         """Return the name of the failure domain."""
 
 
-Target = TypeVar("Target", bound=Placed)
+Target = TypeVar("Target", bound=TargetLocation)
 
 
 @dataclass(frozen=True)
-class TargetDoubted:
+class TargetEjected:
     """A target that was in order is not chosen from now on."""
 
     target_id: str
@@ -69,56 +71,56 @@
 
 
 @dataclass(frozen=True)
-class TargetRegained:
+class TargetRestored:
     """A target may be chosen again."""
 
     target_id: str
 
 
 @dataclass(frozen=True)
-class DomainDoubted:
+class DomainEjected:
     """No target of a failure domain is chosen from now on: its link seems cut."""
 
     domain: str
 
 
 @dataclass(frozen=True)
-class DomainRegained:
+class DomainRestored:
     """The link to a failure domain stands."""
 
     domain: str
 
 
-ReachEffect = TargetDoubted | TargetRegained | DomainDoubted | DomainRegained
+HealthEffect = TargetEjected | TargetRestored | DomainEjected | DomainRestored
 
 
 @dataclass
-class _Doubt:
+class _HealthRecord:
     """What is held against a target or a domain; until is None where it may be used."""
 
-    until: float | None = None
-    strikes: int = 0
+    retry_at: float | None = None
+    ejections: int = 0
     failures: int = 0
-    needs_request: bool = False
+    needs_request_trial: bool = False
     # Of a domain: when its targets were last connected to on its behalf.
-    tried_at: dict[str, float] = field(default_factory=dict)
+    probed_at: dict[str, float] = field(default_factory=dict)
 
-    def prolong(self, now: float) -> None:
-        most = c.REST_MAX_SECONDS
-        if self.needs_request:
-            most = c.REST_MAX_BEFORE_REQUEST_SECONDS
-        self.strikes += 1
+    def back_off(self, now: float) -> None:
+        max_seconds = c.EJECTION_MAX_SECONDS
+        if self.needs_request_trial:
+            max_seconds = c.REQUEST_TRIAL_MAX_EJECTION_SECONDS
+        self.ejections += 1
         self.failures = 0
-        seconds = c.REST_FIRST_SECONDS * 2 ** (min(self.strikes, 8) - 1)
-        self.until = now + min(seconds, most)
+        seconds = c.EJECTION_BASE_SECONDS * 2 ** (min(self.ejections, 8) - 1)
+        self.retry_at = now + min(seconds, max_seconds)
 
-    def keeps_out(self, now: float) -> bool:
-        if self.until is None:
+    def is_blocked(self, now: float) -> bool:
+        if self.retry_at is None:
             return False
-        return not self.needs_request or now < self.until
+        return not self.needs_request_trial or now < self.retry_at
 
 
-class TargetReach:
+class TargetHealthTracker:
     """The targets and failure domains that this host leaves out; times in seconds.
 
     A link that is cut, or an engine that is dead, leaves its targets registered and
@@ -134,43 +136,49 @@
     """
 
     def __init__(self) -> None:
-        self._targets: dict[str, _Doubt] = {}
-        self._domains: dict[str, _Doubt] = {}
+        self._targets: dict[str, _HealthRecord] = {}
+        self._domains: dict[str, _HealthRecord] = {}
         # By failure domain: its targets that failed to connect, and when.
-        self._unreached: dict[str, dict[str, float]] = {}
-        self._reached_at: dict[str, float] = {}
+        self._connect_failures: dict[str, dict[str, float]] = {}
+        self._connected_at: dict[str, float] = {}
 
     @property
-    def resting(self) -> int:
+    def ejected_count(self) -> int:
         """Return how many targets are left out by themselves."""
-        return sum(doubt.until is not None for doubt in self._targets.values())
+        return sum(record.retry_at is not None for record in self._targets.values())
 
     @property
-    def resting_domains(self) -> int:
+    def ejected_domain_count(self) -> int:
         """Return how many failure domains are left out."""
         return len(self._domains)
 
-    def hear(
-        self, target: Placed, evidence: Evidence, now: float
-    ) -> tuple[ReachEffect, ...]:
+    def observe(
+        self, target: TargetLocation, evidence: Evidence, now: float
+    ) -> tuple[HealthEffect, ...]:
         """Take in what was seen of a target; return what changes by it."""
         if evidence is Evidence.ANSWERED:
-            return self._regain(target, now, is_well=True)
+            return self._restore(target, now, has_answered=True)
         if evidence is Evidence.CONNECTED:
-            return self._regain(target, now, is_well=False)
+            return self._restore(target, now, has_answered=False)
         if evidence is Evidence.NOT_CONNECTED:
-            self._reached_at.pop(target.id, None)
-            return self._doubt(target, evidence, now) + self._doubt_domain(target, now)
-        effects: tuple[ReachEffect, ...] = ()
+            self._connected_at.pop(target.id, None)
+            return self._record_fault(
+                target, evidence, now
+            ) + self._record_connect_failure(target, now)
+        effects: tuple[HealthEffect, ...] = ()
         if evidence in (Evidence.REPLACED, Evidence.FAILED):
-            effects = self._regain_domain(target.failure_domain)
-        return effects + self._doubt(target, evidence, now)
+            effects = self._restore_domain(target.failure_domain)
+        return effects + self._record_fault(target, evidence, now)
 
-    def note_chosen(self, target: Placed, now: float) -> None:
+    def start_trial(self, target: TargetLocation, now: float) -> None:
         """Let a target that one request tries again rest for the others meanwhile."""
-        doubt = self._targets.get(target.id)
-        if doubt is not None and doubt.until is not None and doubt.needs_request:
-            doubt.until = max(doubt.until, now + c.TRIAL_SECONDS)
+        record = self._targets.get(target.id)
+        if (
+            record is not None
+            and record.retry_at is not None
+            and record.needs_request_trial
+        ):
+            record.retry_at = max(record.retry_at, now + c.REQUEST_TRIAL_SECONDS)
 
     def select(self, targets: Sequence[Target], now: float) -> Sequence[Target]:
         """Return the least doubted of the targets: none only where none was given."""
@@ -178,24 +186,24 @@
             return targets
         levels: tuple[list[Target], list[Target], list[Target]] = ([], [], [])
         for target in targets:
-            levels[self._grade(target, now)].append(target)
+            levels[self._get_health_level(target, now)].append(target)
         selected = next((level for level in levels if level), [])
         invariants.check(bool(selected) == bool(targets), "never_all_left_out")
         return selected
 
-    def is_in_doubt(self, target: Placed) -> bool:
+    def is_ejected(self, target: TargetLocation) -> bool:
         """Return whether a target or its domain is left out, or due to be tried."""
-        doubt = self._targets.get(target.id)
-        is_out = doubt is not None and doubt.until is not None
-        return is_out or target.failure_domain in self._domains
+        record = self._targets.get(target.id)
+        is_target_ejected = record is not None and record.retry_at is not None
+        return is_target_ejected or target.failure_domain in self._domains
 
-    def get_unsure(self, targets: Sequence[Target], now: float) -> list[Target]:
+    def get_unverified(self, targets: Sequence[Target], now: float) -> list[Target]:
         """Return those that were not connected to lately."""
-        long_ago = now - c.REACHED_SECONDS
+        oldest = now - c.CONNECTION_FRESH_SECONDS
         return [
             target
             for target in targets
-            if self._reached_at.get(target.id, long_ago) <= long_ago
+            if self._connected_at.get(target.id, oldest) <= oldest
         ]
 
     def take_due_probes(self, registered: Sequence[Target], now: float) -> list[Target]:
@@ -206,103 +214,114 @@
         meanwhile those that put it in doubt are not tried by themselves.
         """
         due: list[Target] = []
-        for domain, doubt in self._domains.items():
-            if doubt.until is not None and now >= doubt.until:
-                doubt.prolong(now)
-                due += self._take_in_turn(domain, doubt, registered, now)
+        for domain, record in self._domains.items():
+            if record.retry_at is not None and now >= record.retry_at:
+                record.back_off(now)
+                due += self._pick_domain_probes(domain, record, registered, now)
         for target in registered:
-            known = self._targets.get(target.id)
-            if known is None or known.until is None or known.needs_request:
+            record = self._targets.get(target.id)
+            if record is None or record.retry_at is None or record.needs_request_trial:
                 continue
-            is_behind = target.failure_domain in self._domains
-            if now >= known.until and not is_behind:
-                known.prolong(now)
+            is_domain_ejected = target.failure_domain in self._domains
+            if now >= record.retry_at and not is_domain_ejected:
+                record.back_off(now)
                 due.append(target)
         return due
 
-    def _take_in_turn(
-        self, domain: str, doubt: _Doubt, registered: Sequence[Target], now: float
+    def _pick_domain_probes(
+        self,
+        domain: str,
+        record: _HealthRecord,
+        registered: Sequence[Target],
+        now: float,
     ) -> list[Target]:
-        tried_at = doubt.tried_at
-        inside = [target for target in registered if target.failure_domain == domain]
-        inside.sort(key=lambda t: (tried_at.get(t.id, 0.0), t.id in self._targets))
-        taken = inside[: c.PROBED_IN_DOMAIN]
-        tried_at.update((target.id, now) for target in taken)
-        return taken
-
-    def forget_others(self, registered: Collection[Placed]) -> None:
+        probed_at = record.probed_at
+        members = [target for target in registered if target.failure_domain == domain]
+        members.sort(key=lambda t: (probed_at.get(t.id, 0.0), t.id in self._targets))
+        selected = members[: c.PROBES_PER_DOMAIN]
+        probed_at.update((target.id, now) for target in selected)
+        return selected
+
+    def retain_only(self, registered: Collection[TargetLocation]) -> None:
         """Forget what is registered no more, so that memory is bounded."""
         ids = {target.id for target in registered}
         domains = {target.failure_domain for target in registered}
-        _keep(self._targets, ids)
-        _keep(self._reached_at, ids)
-        _keep(self._domains, domains)
-        _keep(self._unreached, domains)
-        for failed in self._unreached.values():
-            _keep(failed, ids)
-
-    def _doubt(
-        self, target: Placed, evidence: Evidence, now: float
-    ) -> tuple[ReachEffect, ...]:
-        doubt = self._targets.get(target.id)
-        if doubt is None:
-            if len(self._targets) >= c.MAX_DOUBTED:
+        _retain_keys(self._targets, ids)
+        _retain_keys(self._connected_at, ids)
+        _retain_keys(self._domains, domains)
+        _retain_keys(self._connect_failures, domains)
+        for failed in self._connect_failures.values():
+            _retain_keys(failed, ids)
+
+    def _record_fault(
+        self, target: TargetLocation, evidence: Evidence, now: float
+    ) -> tuple[HealthEffect, ...]:
+        record = self._targets.get(target.id)
+        if record is None:
+            if len(self._targets) >= c.MAX_TRACKED_TARGETS:
                 self._targets.pop(next(iter(self._targets)))
-            doubt = self._targets[target.id] = _Doubt()
-        was_out = doubt.until is not None
-        is_probed = was_out and not doubt.needs_request
-        if is_probed and doubt.until is not None and now < doubt.until:
+            record = self._targets[target.id] = _HealthRecord()
+        was_ejected = record.retry_at is not None
+        is_probed = was_ejected and not record.needs_request_trial
+        if is_probed and record.retry_at is not None and now < record.retry_at:
             return ()
-        doubt.failures += 1
-        if evidence in IN_A_ROW and doubt.failures < c.FAILURES_IN_A_ROW:
+        record.failures += 1
+        if (
+            evidence in CONSECUTIVE_FAULTS
+            and record.failures < c.CONSECUTIVE_FAULT_THRESHOLD
+        ):
             return ()
-        doubt.needs_request = evidence in BY_REQUEST
-        doubt.prolong(now)
-        return () if was_out else (TargetDoubted(target.id, evidence),)
+        record.needs_request_trial = evidence in NEEDS_REQUEST_TRIAL
+        record.back_off(now)
+        return () if was_ejected else (TargetEjected(target.id, evidence),)
 
-    def _doubt_domain(self, target: Placed, now: float) -> tuple[ReachEffect, ...]:
+    def _record_connect_failure(
+        self, target: TargetLocation, now: float
+    ) -> tuple[HealthEffect, ...]:
         domain = target.failure_domain
-        failed = self._unreached.setdefault(domain, {})
+        failed = self._connect_failures.setdefault(domain, {})
         failed[target.id] = now
-        recent = [at for at in failed.values() if now - at <= c.DOMAIN_WINDOW_SECONDS]
-        if len(recent) < c.DOMAIN_TARGETS or domain in self._domains:
+        recent = [
+            at for at in failed.values() if now - at <= c.DOMAIN_FAILURE_WINDOW_SECONDS
+        ]
+        if len(recent) < c.DOMAIN_FAILURE_THRESHOLD or domain in self._domains:
             return ()
-        doubt = self._domains[domain] = _Doubt()
-        doubt.prolong(now)
-        return (DomainDoubted(domain),)
+        record = self._domains[domain] = _HealthRecord()
+        record.back_off(now)
+        return (DomainEjected(domain),)
 
-    def _regain(
-        self, target: Placed, now: float, is_well: bool
-    ) -> tuple[ReachEffect, ...]:
+    def _restore(
+        self, target: TargetLocation, now: float, has_answered: bool
+    ) -> tuple[HealthEffect, ...]:
         """Take a target back; strikes stay until it answers.
 
         One that takes connections but fails its work is left out for longer each time.
         """
-        self._reached_at[target.id] = now
-        effects = self._regain_domain(target.failure_domain)
-        doubt = self._targets.get(target.id)
-        if doubt is None or (doubt.needs_request and not is_well):
+        self._connected_at[target.id] = now
+        effects = self._restore_domain(target.failure_domain)
+        record = self._targets.get(target.id)
+        if record is None or (record.needs_request_trial and not has_answered):
             return effects
-        was_out = doubt.until is not None
-        if is_well:
+        was_ejected = record.retry_at is not None
+        if has_answered:
             del self._targets[target.id]
-        elif was_out:
-            doubt.until, doubt.failures = None, 0
-        return (*effects, TargetRegained(target.id)) if was_out else effects
+        elif was_ejected:
+            record.retry_at, record.failures = None, 0
+        return (*effects, TargetRestored(target.id)) if was_ejected else effects
 
-    def _regain_domain(self, domain: str) -> tuple[ReachEffect, ...]:
-        self._unreached.pop(domain, None)
-        known = self._domains.pop(domain, None)
-        return () if known is None else (DomainRegained(domain),)
+    def _restore_domain(self, domain: str) -> tuple[HealthEffect, ...]:
+        self._connect_failures.pop(domain, None)
+        record = self._domains.pop(domain, None)
+        return () if record is None else (DomainRestored(domain),)
 
-    def _grade(self, target: Placed, now: float) -> int:
+    def _get_health_level(self, target: TargetLocation, now: float) -> int:
         """Return 0 for no doubt, 1 for the domain's alone, 2 for the target's own."""
-        doubt = self._targets.get(target.id)
-        if doubt is not None and doubt.keeps_out(now):
+        record = self._targets.get(target.id)
+        if record is not None and record.is_blocked(now):
             return 2
         return int(target.failure_domain in self._domains)
 
 
-def _keep(known: dict[str, Any], names: Collection[str]) -> None:
-    for name in known.keys() - names:
-        del known[name]
+def _retain_keys(record: dict[str, Any], names: Collection[str]) -> None:
+    for name in record.keys() - names:
+        del record[name]
