--- a/libraries/bench/tarragonward_bench/experiment/prompt.py
+++ b/libraries/bench/tarragonward_bench/experiment/prompt.py
@@ -120,7 +120,7 @@
         assert sending is not None
         self._release(sending)
         self._host.policy.end(sending)
-        if tries + 1 >= gateway_const.RESERVATION_TRIES:
+        if tries + 1 >= gateway_const.MAX_RESERVATION_ATTEMPTS:
             self._outcome.is_refused = self._has_ended = True
             return
         if self._host.policy.book is not None:
--- a/libraries/bench/tarragonward_bench/harm/limits.py
+++ b/libraries/bench/tarragonward_bench/harm/limits.py
@@ -70,7 +70,10 @@
     @property
     def view(self) -> HostView:
         now = self.world.now
-        if self._view is None or now - self._view_at >= gateway_const.HOST_VIEW_SECONDS:
+        if (
+            self._view is None
+            or now - self._view_at >= gateway_const.HOST_VIEW_REFRESH_SECONDS
+        ):
             known = self.members.list_known(now)
             most = max(len(known), self.members.count_most_known(now))
             self._view = HostView(str(self.address), frozenset(map(str, known)), most)
@@ -82,7 +85,7 @@
             return
         if self.limits.note_named(target.number, rate, self.world.now):
             self.gossip.note_changed(target.number)
-            self.world.after(gateway_const.LIMIT_NEWS_SECONDS, self._tell)
+            self.world.after(gateway_const.LIMIT_BATCH_SECONDS, self._tell)
         if rate is not None:
             target.told_at.setdefault(self, self.world.now)
 
--- a/libraries/bench/tarragonward_bench/hearing/host.py
+++ b/libraries/bench/tarragonward_bench/hearing/host.py
@@ -181,9 +181,9 @@
     def _ask(self, step: Step, asked: int) -> None:
         call = _SourceCall(asked, self._world.now, self.book.complete, self._suspended)
         source = self._fleet.source
-        timeout = gateway_const.READ_SECONDS
+        timeout = gateway_const.READ_SILENCE_TIMEOUT_SECONDS
         if not isinstance(step, ReadAll):
-            timeout = step.seconds + gateway_const.WATCH_ANSWER_SECONDS
+            timeout = step.seconds + gateway_const.WATCH_SILENCE_TIMEOUT_SECONDS
         self._world.after(timeout, lambda: self._give_up_head(call))
         if self._fleet.links.is_out(self.number):
             source.calls += 1
@@ -233,8 +233,8 @@
             return
         age = self._world.now - self.confirmed_at
         self._hear(Unconfirmed(age))
-        left = gateway_const.UNCONFIRMED_SECONDS - age
-        wait = max(left, gateway_const.UNCONFIRMED_CHECK_SECONDS)
+        left = gateway_const.MAX_CONFIRMED_AGE_SECONDS - age
+        wait = max(left, gateway_const.CONFIRMED_AGE_CHECK_SECONDS)
         self._world.after(wait, lambda: self._doubt(asked))
 
     def _take_answer(self, call: _SourceCall, answer: Answer) -> None:
@@ -309,14 +309,14 @@
                 self._hear(PeerRefused(name))
 
         def refuse_soon() -> None:
-            wait = self._random.random() * gateway_const.ASK_NEXT_PEER_SECONDS
+            wait = self._random.random() * gateway_const.MAX_NEXT_PEER_DELAY_SECONDS
             self._world.after(wait, refuse)
 
         def answer() -> None:
             peer = fleet.hosts[other]
             is_cut = fleet.links.is_cut(self.number, peer.number)
             if peer.is_dead or is_cut or self._world.now < peer.frozen_until:
-                self._world.after(gateway_const.ASK_PEER_TIMEOUT_SECONDS, refuse_soon)
+                self._world.after(gateway_const.PEER_PULL_TIMEOUT_SECONDS, refuse_soon)
                 return
             if peer.is_giving_to_many:
                 refuse_soon()
@@ -345,7 +345,7 @@
     @property
     def is_giving_to_many(self) -> bool:
         """Return whether peers that ask for records are refused."""
-        return self._given >= gateway_const.MAX_PORTIONS_GIVEN
+        return self._given >= gateway_const.MAX_CONCURRENT_RECORD_ANSWERS
 
     def give(
         self,
@@ -478,6 +478,6 @@
         late = self.members.compute_age(peer, hello.stamp, now)
         before = self.confirmed_at
         self._hear(PeerTold(hello.name, changed, unpack_age(packed_age) + late))
-        is_news = self.confirmed_at - before > gateway_const.RELAY_SECONDS
+        is_news = self.confirmed_at - before > gateway_const.RELAY_MIN_GAIN_SECONDS
         if is_news and self.place.group and str(address) not in self.place.group:
             self._tell_records(has_changes=False)
--- a/libraries/bench/tests/test_hearing_runs.py
+++ b/libraries/bench/tests/test_hearing_runs.py
@@ -96,7 +96,7 @@
     plan = HearingPlan(30, 15.0, is_isolating=True)
     for seed in range(1, 8):
         run_hearing(seed, plan)
-    monkeypatch.setattr(gateway_const, "FED_SECONDS", float("inf"))
+    monkeypatch.setattr(gateway_const, "STANDBY_POLL_AGE_SECONDS", float("inf"))
     for seed in (3, 5, 6, 7):
         with pytest.raises(AssertionError, match="lacks|confirmed .* ago"):
             run_hearing(seed, plan)
--- a/libraries/gateway/tarragonward_gateway/cell_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/cell_gossip.py
@@ -40,7 +40,7 @@
         self._is_telling = False
         self._told_at = float("-inf")
         # Bytes that may be told of readings; below zero after a message to many.
-        self._credit = float(c.MAX_READING_BYTES_PER_SECOND)
+        self._credit = float(c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND)
         self._credit_at = read_clock()
         chooser.book.on_change.append(self._note_prompt)
         peers.add_section(SECTION, self._build, chooser.take_summary)
@@ -56,7 +56,7 @@
     async def _async_tell(self) -> None:
         while True:
             jitter = self._state.random.uniform(0.9, 1.1)
-            await asyncio.sleep(c.CELL_GOSSIP_SECONDS * jitter)
+            await asyncio.sleep(c.CELL_GOSSIP_INTERVAL_SECONDS * jitter)
             far = self._list_far()
             if not far:
                 continue
@@ -67,7 +67,7 @@
 
     def _repeat_reading(self, far: list[Address]) -> None:
         now = read_clock()
-        is_due = now - self._told_at >= c.READING_REPEAT_SECONDS
+        is_due = now - self._told_at >= c.PREFILL_REPEAT_SECONDS
         if is_due and self._chooser.book.has_long_reading(now):
             self._tell_reading(far, now)
 
@@ -77,7 +77,7 @@
             self._tell_reading(self._list_far(), read_clock())
 
     def _tell_reading(self, far: list[Address], now: float) -> None:
-        rate = c.MAX_READING_BYTES_PER_SECOND
+        rate = c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND
         earned = max(0.0, now - self._credit_at) * rate
         self._credit, self._credit_at = min(rate, self._credit + earned), now
         if self._credit <= 0 or not far:
--- a/libraries/gateway/tarragonward_gateway/cells.py
+++ b/libraries/gateway/tarragonward_gateway/cells.py
@@ -34,7 +34,7 @@
         """Return this host's cell among the engines of a service."""
         now = self._clock()
         made_at, cell = self._cells.get(service, (float("-inf"), None))
-        if cell is not None and now - made_at < c.CELL_SECONDS:
+        if cell is not None and now - made_at < c.CELL_REFRESH_SECONDS:
             return cell
         new = self._choose(service)
         if new != cell:
@@ -53,7 +53,7 @@
     def get_place(self) -> Place:
         """Return this host's place among those that ask for what is published."""
         now = self._clock()
-        if now - self._place_at < c.PLACE_SECONDS:
+        if now - self._place_at < c.POLLING_ORDER_REFRESH_SECONDS:
             return self._place
         old, self._place_at = self._place, now
         self._place = choose_place(self._locate_own(), self._list_hosts())
--- a/libraries/gateway/tarragonward_gateway/following.py
+++ b/libraries/gateway/tarragonward_gateway/following.py
@@ -191,13 +191,13 @@
         self._is_fed = fed_left > 0.0
         if self._is_fed:
             self._end_failing(now)
-            return Pause(max(fed_left, c.FED_CHECK_SECONDS))
+            return Pause(max(fed_left, c.STANDBY_CHECK_SECONDS))
         if now < self._pause_until:
             return Pause(self._pause_until - now)
         if self._must_read:
             return ReadAll()
         if place.fed_rank is not None or self._is_given:
-            return Watch(c.FED_WATCH_SECONDS)
+            return Watch(c.STANDBY_WATCH_SECONDS)
         return Watch(self._choose_wait(place))
 
     def _compute_fed_left(self, place: Place, confirmed_age: float) -> float:
@@ -211,17 +211,20 @@
         """
         if place.fed_rank is None:
             return 0.0
-        wait = c.FED_SECONDS + place.group_share * c.FED_GROUPS_SECONDS
-        return wait + place.fed_rank * c.FED_RANK_SECONDS - confirmed_age
+        wait = (
+            c.STANDBY_POLL_AGE_SECONDS
+            + place.group_share * c.STANDBY_GROUP_SPREAD_SECONDS
+        )
+        return wait + place.fed_rank * c.STANDBY_RANK_STEP_SECONDS - confirmed_age
 
     def _choose_wait(self, place: Place) -> float:
         hosts = place.hosts
         if place.group:
-            wait = min(c.MAX_WATCH_SECONDS, hosts * c.FED_WATCH_SLOT_SECONDS)
+            wait = min(c.MAX_WATCH_SECONDS, hosts * c.POLLER_WATCH_STAGGER_SECONDS)
             return wait * (place.rank + 1) / hosts if self._is_woken else wait
         # A change wakes all watches at once. Symptom: they also end at once, and for
         # seconds nobody knows whether anything is new. Places keep their ends apart.
-        slot = max(c.WATCH_SLOT_SECONDS, c.MIN_WATCH_SECONDS / hosts)
+        slot = max(c.WATCH_STAGGER_SECONDS, c.MIN_WATCH_SECONDS / hosts)
         slot = min(slot, c.MAX_WATCH_SECONDS / hosts)
         return slot * (place.rank + 1 if self._is_woken else hosts)
 
@@ -233,7 +236,7 @@
 
     def is_after_outage(self, now: float) -> bool:
         """Return whether the source was away for a while until moments ago."""
-        return now - self._last_outage_at < c.OUTAGE_MEMORY_SECONDS
+        return now - self._last_outage_at < c.AFTER_OUTAGE_SECONDS
 
     def take_answer(self, has_changes: bool, is_gap: bool, now: float) -> None:
         """Note an answer of the source."""
@@ -250,8 +253,8 @@
             return
         # Changes come in crowds, at a start or a release, and each wakes every watch
         # of every host: after a short pause, one call brings many.
-        is_crowd = now - self._changed_at < c.CROWD_SECONDS
-        pause = c.CROWD_PAUSE_SECONDS if is_crowd else c.CHANGE_PAUSE_SECONDS
+        is_crowd = now - self._changed_at < c.CHANGE_BURST_WINDOW_SECONDS
+        pause = c.CHANGE_BURST_DELAY_SECONDS if is_crowd else c.CHANGE_DELAY_SECONDS
         self._pause_until = now + pause
         self._changed_at = now
 
@@ -275,7 +278,7 @@
         self._must_read = True
         limit = c.SOURCE_RETRY_MAX_SECONDS
         if complete:
-            limit = max(limit, hosts * c.SOURCE_RETRY_SECONDS_A_HOST)
+            limit = max(limit, hosts * c.SOURCE_RETRY_SECONDS_PER_HOST)
         limit = min(limit, c.SOURCE_RETRY_LIMIT_SECONDS)
         wait = min(c.SOURCE_RETRY_FIRST_SECONDS * 2**self.failures, limit)
         self.failures = min(self.failures + 1, 16)
@@ -290,7 +293,7 @@
         until its watch ends, up to 12 s later. In a fleet in order some host's watch
         ends each 1.3 s and its word reaches all, so an old word shows the deaf.
         """
-        if confirmed_age <= c.UNCONFIRMED_SECONDS or not self._is_watching:
+        if confirmed_age <= c.MAX_CONFIRMED_AGE_SECONDS or not self._is_watching:
             return []
         self._is_watching = False
         self._must_read = True
@@ -337,7 +340,7 @@
             effects += self._catch_up(told.name, complete, now)
         if self._shows_return(told, now):
             self._is_return_tried = True
-            spread = self._random.uniform(0.0, c.RETURN_SPREAD_SECONDS)
+            spread = self._random.uniform(0.0, c.RECOVERY_SPREAD_SECONDS)
             self._pause_until = min(self._pause_until, now + spread)
             effects += self._ask_source()
         return effects
@@ -346,11 +349,11 @@
         if self._behind_since is None:
             self._behind_since = now
         # Its own watch most often brings a host the same a moment later.
-        grace = c.BEHIND_SECONDS if complete else 0.0
+        grace = c.BEHIND_GRACE_SECONDS if complete else 0.0
         if self.failures or self._is_fed:
             grace = 0.0
         is_early = now - self._behind_since < grace
-        if is_early or now - self._asked_peer_at < c.ASK_PEER_SECONDS:
+        if is_early or now - self._asked_peer_at < c.PEER_PULL_INTERVAL_SECONDS:
             return []
         self._asked_peer_at = now
         effects: list[FollowEffect] = [AskPeer(name)]
@@ -364,7 +367,7 @@
 
     def _note_holder(self, name: str) -> None:
         self._holders[name] = None
-        while len(self._holders) > c.MAX_HOLDERS:
+        while len(self._holders) > c.MAX_AHEAD_PEERS:
             self._holders.pop(next(iter(self._holders)))
 
     def take_refusal(self, name: str, complete: int, now: float) -> list[FollowEffect]:
@@ -395,8 +398,8 @@
 
     def _wait_to_be_given(self, now: float) -> None:
         """Leave the source to others while peers may give what they have read."""
-        longest = self._started_at + c.START_LONGEST_SECONDS
-        given_until = min(now + c.START_PULL_SECONDS, longest)
+        longest = self._started_at + c.MAX_START_WAIT_SECONDS
+        given_until = min(now + c.START_PULL_WAIT_SECONDS, longest)
         self._pause_until = max(self._pause_until, given_until)
 
     def _shows_return(self, told: PeerTold, now: float) -> bool:
@@ -416,8 +419,8 @@
         # an outage: it takes what its peers tell it has left for what has lapsed, and
         # uses it past the drain's bound. What peers confirm shows that all others hear.
         since = self._failing_since
-        is_long = since is not None and now - since > c.OUTAGE_SECONDS
-        if is_long and now - self._confirmed_at > c.UNCONFIRMED_SECONDS:
+        is_long = since is not None and now - since > c.MIN_OUTAGE_SECONDS
+        if is_long and now - self._confirmed_at > c.MAX_CONFIRMED_AGE_SECONDS:
             self._last_outage_at = now
 
 
--- a/libraries/gateway/tarragonward_gateway/forwarder.py
+++ b/libraries/gateway/tarragonward_gateway/forwarder.py
@@ -92,7 +92,7 @@
         tenths of a second.
         """
         state, received_at = self._state, request.context.received_at
-        left = state.started_at + c.START_SECONDS - read_clock()
+        left = state.started_at + c.STARTUP_SECONDS - read_clock()
         limit = parse_count(request.headers.get(state.headers.deadline_ms, ""))
         if limit is not None:
             left = min(left, c.START_HOLD_SHARE * limit / MILLISECONDS)
@@ -158,7 +158,7 @@
         # unknown. Symptom: a caller is told 404 or 401 for good, and never asks
         # again. A host that cannot know says so, and the caller comes back.
         age = read_clock() - self._state.table_confirmed_at
-        if age <= c.TABLE_FRESH_SECONDS:
+        if age <= c.MAX_FRESH_TABLE_AGE_SECONDS:
             return RequestRefusedError(code)
         return RequestRefusedError(
             ResultCode.NOT_READY, retry_after_seconds=c.ROUTE_UNSURE_RETRY_SECONDS
--- a/libraries/gateway/tarragonward_gateway/limit_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/limit_gossip.py
@@ -31,12 +31,12 @@
     def take_news(self) -> list[list[int]]:
         """Return the targets to tell of now, as many at a time as a message holds."""
         news, self._news = list(self._news), {}
-        size = c.MAX_LIMITS_TOLD
+        size = c.MAX_LIMITS_PER_MESSAGE
         return [news[start : start + size] for start in range(0, len(news), size)]
 
     def choose_in_turn(self) -> list[int]:
         """Return a few of all targets that name limits, others at each call."""
-        return self._turn.take(list(self._limits.iterate()), c.MAX_LIMITS_IN_ROUNDS)
+        return self._turn.take(list(self._limits.iterate()), c.MAX_LIMITS_PER_ROUND)
 
     def build(self, numbers: Iterable[int], now: float) -> list[Any]:
         """Return what is known of these targets, as it travels."""
--- a/libraries/gateway/tarragonward_gateway/limit_task.py
+++ b/libraries/gateway/tarragonward_gateway/limit_task.py
@@ -52,7 +52,7 @@
 
     async def _async_forget(self) -> None:
         while True:
-            await asyncio.sleep(c.LIMIT_CHECK_SECONDS)
+            await asyncio.sleep(c.LIMIT_EXPIRY_INTERVAL_SECONDS)
             registered = self._state.registry.get_all()
             numbers = {hash_name(target.id) for target in registered}
             self._limits.keep_only(numbers, read_clock())
@@ -61,7 +61,7 @@
         self._gossip.note_changed(number)
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(c.LIMIT_NEWS_SECONDS, self._tell)
+            self._timer = loop.call_later(c.LIMIT_BATCH_SECONDS, self._tell)
 
     def _tell(self) -> None:
         self._timer = None
--- a/libraries/gateway/tarragonward_gateway/moving.py
+++ b/libraries/gateway/tarragonward_gateway/moving.py
@@ -66,7 +66,7 @@
         if other is None or other.plan is None:
             return False
         left = need.aim_at - self._loop.time()
-        if other.plan.first_event_seconds > left * c.OVERDUE_ELSEWHERE_SHARE:
+        if other.plan.first_event_seconds > left * c.OVERDUE_MAX_MOVE_SHARE:
             return False
         self._begin(need)
         return True
--- a/libraries/gateway/tarragonward_gateway/observer.py
+++ b/libraries/gateway/tarragonward_gateway/observer.py
@@ -236,7 +236,7 @@
         return age if age < float("inf") else None
 
     def _note(self, event: str, *, at: float | None = None, **fields: Any) -> None:
-        if len(self._trail) >= c.MAX_TRAIL_LINES:
+        if len(self._trail) >= c.MAX_EVENTS_PER_REQUEST:
             self._unwritten += 1
             return
         self._add(self._loop.time() if at is None else at, event, **fields)
--- a/libraries/gateway/tarragonward_gateway/peers.py
+++ b/libraries/gateway/tarragonward_gateway/peers.py
@@ -99,7 +99,7 @@
     def get_host_view(self) -> HostView:
         """Return the hosts that this one knows, as they were moments ago."""
         now = read_clock()
-        if now - self._view_at >= c.HOST_VIEW_SECONDS:
+        if now - self._view_at >= c.HOST_VIEW_REFRESH_SECONDS:
             known = self.members.list_known(now)
             most = max(len(known), self.members.count_most_known(now))
             names = frozenset(map(str, known))
@@ -200,7 +200,7 @@
         expected_at = read_clock()
         while True:
             now = read_clock()
-            is_paused = now - expected_at > c.PAUSE_SECONDS
+            is_paused = now - expected_at > c.MIN_PROCESS_PAUSE_SECONDS
             if is_paused:
                 self._note_pause(now - expected_at)
             event = RoundDue(self._sent_bytes, self._brief_bytes)
@@ -214,7 +214,7 @@
 
     def _note_suspended(self, now: float) -> None:
         before, self._suspended = self._suspended, read_suspended()
-        if self._suspended - before > c.SUSPENDED_SECONDS:
+        if self._suspended - before > c.MIN_SUSPENDED_SECONDS:
             self.members.note_suspended(self._suspended - before, now)
 
     def _note_pause(self, seconds: float) -> None:
@@ -282,7 +282,7 @@
         return msgpack.packb((c.PEER_FORMAT, hello.pack(), sections))
 
     def _unpack(self, data: bytes, sender: Address) -> tuple[Hello, dict[str, bytes]]:
-        if len(data) > c.MAX_TAKEN_DATAGRAM_BYTES:
+        if len(data) > c.MAX_RECEIVED_DATAGRAM_BYTES:
             raise FrameError("the datagram is too large")
         try:
             number, packed_hello, sections = msgpack.unpackb(data)
--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -89,11 +89,11 @@
         Hosts that refuse each other's groups try again after random times, so that one
         of them comes first.
         """
-        for attempt in range(c.RESERVATION_TRIES):
+        for attempt in range(c.MAX_RESERVATION_ATTEMPTS):
             choice = self._chooser.choose(self.build_need(leader))
             if choice is None:
                 return None
-            is_last = attempt + 1 == c.RESERVATION_TRIES
+            is_last = attempt + 1 == c.MAX_RESERVATION_ATTEMPTS
             if choice.helpers and not is_last:
                 with self._chooser.hold(choice):
                     are_reached = await self._chooser.probes.async_check(choice.helpers)
--- a/libraries/gateway/tarragonward_gateway/probes.py
+++ b/libraries/gateway/tarragonward_gateway/probes.py
@@ -130,7 +130,7 @@
 
     async def _async_try(self) -> None:
         while True:
-            await asyncio.sleep(c.PROBE_ROUND_SECONDS)
+            await asyncio.sleep(c.TARGET_PROBE_INTERVAL_SECONDS)
             registered = self._state.registry.get_all()
             self._reach.retain_only(registered)
             for target in self._reach.take_due_probes(registered, read_clock()):
@@ -151,7 +151,7 @@
 async def _async_connect(address: Address) -> bool:
     """Return whether a connection can be made; nothing is asked on it."""
     try:
-        async with asyncio.timeout(c.CONNECT_SECONDS):
+        async with asyncio.timeout(c.CONNECT_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(address.host, address.port)
     except (OSError, TimeoutError):
         return False
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -123,8 +123,8 @@
     async def _async_doubt(self) -> None:
         """Give up a watch once nobody has confirmed for long what this host holds."""
         while True:
-            left = c.UNCONFIRMED_SECONDS - self._get_confirmed_age()
-            await asyncio.sleep(max(left, c.UNCONFIRMED_CHECK_SECONDS))
+            left = c.MAX_CONFIRMED_AGE_SECONDS - self._get_confirmed_age()
+            await asyncio.sleep(max(left, c.CONFIRMED_AGE_CHECK_SECONDS))
             self._hear(Unconfirmed(self._get_confirmed_age()))
 
     async def _async_until_woken(self, work: Any) -> bool:
@@ -182,7 +182,7 @@
             return await self._async_read_page()
         after, suspended = self.book.complete, read_suspended()
         read = await self._reader.async_watch(
-            after, step.seconds, c.WATCH_ANSWER_SECONDS
+            after, step.seconds, c.WATCH_SILENCE_TIMEOUT_SECONDS
         )
         # The answer may have lain in the socket of a host that stood still. Symptom:
         # the host, and all that hear it, take an old table for confirmed just now.
@@ -194,7 +194,7 @@
     async def _async_read_page(self) -> SourceAnswered | PageRead:
         asked_at = read_clock()
         after = self._reading.choose_after(asked_at)
-        page = await self._reader.async_read_page(after, c.READ_SECONDS)
+        page = await self._reader.async_read_page(after, c.READ_SILENCE_TIMEOUT_SECONDS)
         read = self._reading.take(page, asked_at)
         if read is None:
             return PageRead()
@@ -229,7 +229,7 @@
         try:
             is_given = await self._async_take_from(name)
             if not is_given:
-                wait = self._state.random.random() * c.ASK_NEXT_PEER_SECONDS
+                wait = self._state.random.random() * c.MAX_NEXT_PEER_DELAY_SECONDS
                 await asyncio.sleep(wait)
         finally:
             self._pull_limit.end(begun_at)
@@ -268,7 +268,7 @@
             raise ValueError("not a revision")
         before = self._state.table_confirmed_at
         self._hear(PeerTold(name, changed, unpack_age(confirmed_age) + age))
-        is_news = self._state.table_confirmed_at - before > c.RELAY_SECONDS
+        is_news = self._state.table_confirmed_at - before > c.RELAY_MIN_GAIN_SECONDS
         # Word of another group reaches one host of this one. Symptom: the rest of the
         # group asks the source for what is known. Mates were told by their own mate.
         if is_news and self._get_place().group and not self._peers.is_mate(name):
@@ -355,7 +355,9 @@
     ) -> dict[str, float]:
         """Return by service how much of the drain time its gone targets are used."""
         now = read_clock()
-        is_silent = now - self._state.table_confirmed_at > c.OUTAGE_AGE_SECONDS
+        is_silent = (
+            now - self._state.table_confirmed_at > c.OUTAGE_CONFIRMED_AGE_SECONDS
+        )
         is_outage = is_silent or self._follower.is_after_outage(now)
         counts = Counter(target.service for target in gone if target.is_ready)
         shares = dict.fromkeys((target.service for target in gone), 0.0)
@@ -364,7 +366,7 @@
             if is_outage:
                 most = c.LINGER_SHARE if is_reading else c.GUESSED_LINGER_SHARE
                 shares[service] = most
-            elif count >= max(c.LAPSE_MIN_TARGETS, c.LAPSE_SHARE * ready):
+            elif count >= max(c.LAPSE_MIN_TARGETS, c.LAPSE_MIN_SHARE * ready):
                 shares[service] = c.GUESSED_LINGER_SHARE
         return shares
 
--- a/libraries/gateway/tarragonward_gateway/readers.py
+++ b/libraries/gateway/tarragonward_gateway/readers.py
@@ -53,14 +53,14 @@
     awake = [
         name
         for name in parts[number]
-        if known[name].silent_seconds < c.READER_SILENT_SECONDS
+        if known[name].silent_seconds < c.POLLER_SILENT_SECONDS
     ]
     rank = awake.index(own.name)
-    is_fed = rank >= c.READERS_A_GROUP
+    is_fed = rank >= c.POLLERS_PER_GROUP
     return Place(
-        hosts=len(parts) * c.READERS_A_GROUP,
-        rank=number * c.READERS_A_GROUP + min(rank, c.READERS_A_GROUP - 1),
-        fed_rank=rank - c.READERS_A_GROUP if is_fed else None,
+        hosts=len(parts) * c.POLLERS_PER_GROUP,
+        rank=number * c.POLLERS_PER_GROUP + min(rank, c.POLLERS_PER_GROUP - 1),
+        fed_rank=rank - c.POLLERS_PER_GROUP if is_fed else None,
         group=frozenset(parts[number]),
         group_share=number / len(parts),
     )
--- a/libraries/gateway/tarragonward_gateway/reading.py
+++ b/libraries/gateway/tarragonward_gateway/reading.py
@@ -26,7 +26,7 @@
 
     def choose_after(self, now: float) -> str:
         """Return the key after which the next page begins."""
-        if now - self._begun_at > c.MAX_READING_SECONDS:
+        if now - self._begun_at > c.MAX_PAGED_READ_AGE_SECONDS:
             self.clear()
         return self._next_after
 
--- a/libraries/gateway/tarragonward_gateway/record_exchange.py
+++ b/libraries/gateway/tarragonward_gateway/record_exchange.py
@@ -45,7 +45,7 @@
     """
     if not math.isfinite(seconds):
         return None
-    return math.ceil((seconds + c.HOP_SECONDS) * MILLISECONDS)
+    return math.ceil((seconds + c.AGE_HOP_ALLOWANCE_SECONDS) * MILLISECONDS)
 
 
 def unpack_age(item: Any) -> float:
@@ -75,7 +75,7 @@
         # All that start at once ask the few hosts that hold the records. Symptom: their
         # links are full, and no asker has its answer in time. Those refused ask again,
         # most often another host, and each that was given the records gives them on.
-        if self._given >= c.MAX_PORTIONS_GIVEN:
+        if self._given >= c.MAX_CONCURRENT_RECORD_ANSWERS:
             await responder.async_send_error(ResultCode.OVERLOADED)
             return
         self._given += 1
@@ -101,7 +101,7 @@
             records = [(r.key, r.revision, r.value) for r in portion.records]
             body = msgpack.packb((portion.complete, portion.is_whole, records))
             self._packed[key] = zlib.compress(body, c.RECORDS_COMPRESSION)
-            while len(self._packed) > c.MAX_PACKED_PORTIONS:
+            while len(self._packed) > c.MAX_CACHED_RECORD_BODIES:
                 self._packed.popitem(last=False)
         return self._packed[key]
 
@@ -112,8 +112,8 @@
         address,
         METHOD_GET,
         f"{c.RECORDS_PATH}?{PARAMETER_AFTER}={after}",
-        timeout=c.ASK_PEER_TIMEOUT_SECONDS,
-        silence_timeout=c.ASK_PEER_TIMEOUT_SECONDS,
+        timeout=c.PEER_PULL_TIMEOUT_SECONDS,
+        silence_timeout=c.PEER_PULL_TIMEOUT_SECONDS,
     )
     if answer.status != STATUS_OK or len(answer.body) > c.MAX_RECORDS_BYTES:
         raise TargetError(f"status {answer.status}")
--- a/libraries/gateway/tarragonward_gateway/reload.py
+++ b/libraries/gateway/tarragonward_gateway/reload.py
@@ -75,7 +75,7 @@
     async def _async_follow(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(c.SETTINGS_CHECK_SECONDS):
+                async with asyncio.timeout(c.SETTINGS_CHECK_INTERVAL_SECONDS):
                     await self._told.wait()
             except TimeoutError:
                 pass
--- a/libraries/gateway/tarragonward_gateway/reservations.py
+++ b/libraries/gateway/tarragonward_gateway/reservations.py
@@ -60,7 +60,9 @@
     async def async_unload(self) -> None:
         """Wait until all that was held is released."""
         if self._releasing:
-            await asyncio.wait(self._releasing, timeout=c.ORDER_SECONDS)
+            await asyncio.wait(
+                self._releasing, timeout=c.RESERVATION_CALL_TIMEOUT_SECONDS
+            )
 
     async def async_reserve(self, choice: SendChoice) -> Lease | str:
         """Return the lease of all parts, or the id of the target that refused."""
@@ -89,7 +91,7 @@
         # A ticket that expires cuts its request off. One renewal may be lost and the
         # next one still comes in time.
         while True:
-            await asyncio.sleep(self._hold_seconds * c.RENEW_SHARE)
+            await asyncio.sleep(self._hold_seconds * c.RENEWAL_INTERVAL_SHARE)
             for part in parts:
                 # A boot that followed the one which holds this would set the memory
                 # aside anew, for a request that it does not have.
@@ -102,7 +104,9 @@
 
     async def _async_hold(self, part: Reservation) -> bool:
         """Hold or renew a part; return whether the boot it is meant for holds it."""
-        answer = await self._calls.async_reserve(part, c.ORDER_SECONDS)
+        answer = await self._calls.async_reserve(
+            part, c.RESERVATION_CALL_TIMEOUT_SECONDS
+        )
         is_other = None not in (answer.incarnation, part.target.incarnation) and (
             answer.incarnation != part.target.incarnation
         )
@@ -123,7 +127,9 @@
     def _hold_seconds(self) -> float:
         bounds = self._state.settings.bounds
         # What a dead or frozen host left must be free again within the bound.
-        return min(bounds.reservation_seconds, bounds.free_seconds * c.HOLD_SHARE)
+        return min(
+            bounds.reservation_seconds, bounds.free_seconds * c.RESERVATION_TTL_SHARE
+        )
 
     def _build_parts(self, choice: SendChoice) -> list[Reservation]:
         self._count += 1
@@ -158,7 +164,9 @@
         wait = c.RELEASE_RETRY_SECONDS
         while asyncio.get_running_loop().time() < end:
             try:
-                if await self._calls.async_release(part, c.ORDER_SECONDS):
+                if await self._calls.async_release(
+                    part, c.RESERVATION_CALL_TIMEOUT_SECONDS
+                ):
                     return
             except TargetError as err:
                 log_event("release_failed", reservation=part.id, error=str(err))
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -293,7 +293,7 @@
                     self._request.target,
                     headers=self._build_headers(choice, effect, left),
                     body=self._request.body,
-                    connect_timeout=min(c.CONNECT_SECONDS, left),
+                    connect_timeout=min(c.CONNECT_TIMEOUT_SECONDS, left),
                     before_write=self._exchange.record_sent,
                     unreachable_timeout=c.TARGET_UNREACHABLE_SECONDS,
                 )
@@ -302,7 +302,7 @@
 
     def _build_watch(self, plan: ReadingPlan) -> SilenceWatch:
         aim = max(self._route.aim_seconds, c.SILENCE_MIN_FIRST_SECONDS)
-        pause = c.SILENCE_PAUSES * self._route.pause_aim_seconds
+        pause = c.SILENCE_PAUSE_FACTOR * self._route.pause_aim_seconds
 
         def may_leave() -> bool:
             # An engine that pauses may well be at work, and the next one may refuse.
@@ -315,7 +315,7 @@
             left = self._context.limit_at - now
             may_send = (
                 self._exchange.can_send_again(now)
-                and left > plan.first_event_seconds + c.SILENCE_MIN_LEFT_SECONDS
+                and left > plan.first_event_seconds + c.SILENCE_MIN_REMAINING_SECONDS
                 and self._state.may_repeat(
                     self._context.service, is_urgent=self._exchange.is_started
                 )
@@ -326,10 +326,10 @@
             return may_send and self._chooser.find_instead(need) is not None
 
         return SilenceWatch(
-            c.SILENCE_FACTOR * plan.first_event_seconds + aim,
+            c.SILENCE_FIRST_EVENT_FACTOR * plan.first_event_seconds + aim,
             max(pause, c.SILENCE_MIN_PAUSE_SECONDS),
             may_leave,
-            c.OVERDUE_FACTOR * plan.first_event_seconds + c.OVERDUE_SECONDS,
+            c.OVERDUE_FACTOR * plan.first_event_seconds + c.OVERDUE_MARGIN_SECONDS,
             self._mover.leaves_overdue,
         )
 
--- a/libraries/gateway/tarragonward_gateway/silence.py
+++ b/libraries/gateway/tarragonward_gateway/silence.py
@@ -102,4 +102,4 @@
         if is_silent or self._is_leaving:
             self._scope.reschedule(now)
         else:
-            self._arm(c.SILENCE_AGAIN_SECONDS)
+            self._arm(c.SILENCE_RECHECK_SECONDS)
--- a/libraries/gateway/tarragonward_gateway/suspect_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_gossip.py
@@ -55,7 +55,7 @@
         return min(self._due.values(), default=None)
 
     def note_changed(
-        self, fingerprint: bytes, now: float, delay: float = c.SUSPECT_NEWS_SECONDS
+        self, fingerprint: bytes, now: float, delay: float = c.SUSPECT_BATCH_SECONDS
     ) -> None:
         """Note that the others should hear of a request, together with others."""
         self._due.setdefault(fingerprint, now + delay)
@@ -66,7 +66,7 @@
         for fingerprint in [f for f, due_at in self._due.items() if due_at <= now]:
             del self._due[fingerprint]
             by_hosts[self._choose_told(fingerprint)].append(fingerprint)
-        size = c.MAX_SUSPECTS_TOLD
+        size = c.MAX_SUSPECTS_PER_MESSAGE
         return [
             SuspectNews(hosts, tuple(told[start : start + size]))
             for hosts, told in by_hosts.items()
@@ -85,14 +85,14 @@
             for fingerprint, suspect in self._ledger.iterate()
             if len(suspect.crashes) >= CRASHES_UNTIL_ALONE
         ]
-        return self._turn.take(known, c.MAX_SUSPECTS_IN_ROUNDS)
+        return self._turn.take(known, c.MAX_SUSPECTS_PER_ROUND)
 
     def take(self, data: Iterable[Any], age: float, now: float) -> None:
         """Take what another host told; raise ValueError where it is malformed."""
         for item in data:
             entry = SuspectEntry.unpack(item)
             if self._ledger.take(entry, now, age):
-                turn = self._random.random() * c.SUSPECT_TURN_SECONDS
+                turn = self._random.random() * c.SUSPECT_RELAY_JITTER_SECONDS
                 self.note_changed(entry.fingerprint, now, turn)
             elif self._knows_no_more(entry):
                 self._due.pop(entry.fingerprint, None)
@@ -125,7 +125,7 @@
     keepers: list[Address] = []
     for _, addresses in sorted(by_domain.items()):
         addresses.sort(key=lambda address: _rank(fingerprint, address))
-        keepers += addresses[: c.SUSPECT_KEEPERS_A_DOMAIN]
+        keepers += addresses[: c.SUSPECT_AGGREGATORS_PER_DOMAIN]
     return tuple(keepers)
 
 
--- a/libraries/gateway/tarragonward_gateway/suspect_task.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_task.py
@@ -49,7 +49,7 @@
 
     async def _async_expire(self) -> None:
         while True:
-            await asyncio.sleep(c.SUSPECT_CHECK_SECONDS)
+            await asyncio.sleep(c.SUSPECT_EXPIRY_INTERVAL_SECONDS)
             self._ledger.expire(read_clock())
 
     def _note_changed(self, fingerprint: bytes) -> None:
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -348,7 +348,7 @@
         In a very large fleet cells have enough of them, and a plan among all, and word
         of all, would take more of each host than it saves.
         """
-        return len(self._state.registry.get_ready(service)) <= c.MAX_WIDE_ENGINES
+        return len(self._state.registry.get_ready(service)) <= c.MAX_CROSS_CELL_ENGINES
 
     def build_summary(self) -> dict[str, list[Any]] | None:
         """Return what is known of the engines of this host's cell, None for none."""
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -68,7 +68,7 @@
     """A hint is forgotten while some prompts are still read."""
     chooser, gossip, messages = told
     work = begin(chooser, 6.0)
-    now = 5.0 + cell_gossip.c.READING_REPEAT_SECONDS
+    now = 5.0 + cell_gossip.c.PREFILL_REPEAT_SECONDS
     monkeypatch.setattr(cell_gossip, "read_clock", lambda: now)
     gossip._told_at = 5.0
     gossip._repeat_reading([FAR])
@@ -82,7 +82,7 @@
 
 
 async def test_hosts_of_other_cells_hear_of_the_engines_in_turn(told, monkeypatch):
-    monkeypatch.setattr(cell_gossip.c, "CELL_GOSSIP_SECONDS", 0.01)
+    monkeypatch.setattr(cell_gossip.c, "CELL_GOSSIP_INTERVAL_SECONDS", 0.01)
     _, gossip, messages = told
     await gossip.async_setup()
     try:
@@ -96,7 +96,7 @@
 def test_what_other_cells_are_told_of_readings_is_bounded(told, monkeypatch):
     """In a fleet of hundreds each host told, and read, of each long prompt."""
     chooser, _, messages = told
-    rate = cell_gossip.c.MAX_READING_BYTES_PER_SECOND
+    rate = cell_gossip.c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND
     clock = [read_clock()]
     monkeypatch.setattr(cell_gossip, "read_clock", lambda: clock[0])
     seconds = 10
@@ -111,7 +111,7 @@
     """Nobody plans among thousands of engines, so word of them is work for nothing."""
     chooser, gossip, messages = told
     assert gossip._list_far() == [FAR]
-    monkeypatch.setattr(cell_gossip.c, "MAX_WIDE_ENGINES", -1)
+    monkeypatch.setattr(cell_gossip.c, "MAX_CROSS_CELL_ENGINES", -1)
     assert gossip._list_far() == []
     begin(chooser, placement_const.HOLDING_SECONDS)
     assert not messages
--- a/libraries/gateway/tests/test_following.py
+++ b/libraries/gateway/tests/test_following.py
@@ -52,7 +52,7 @@
     watching.hear(SourceAnswered(False), 10, HOSTS, 1.0)
     assert watching.choose_step(Place(1, 0), NO_AGE, 1.0) == Watch(c.MIN_WATCH_SECONDS)
     assert watching.choose_step(Place(HOSTS, 3), NO_AGE, 1.0) == Watch(
-        HOSTS * c.WATCH_SLOT_SECONDS
+        HOSTS * c.WATCH_STAGGER_SECONDS
     )
     assert watching.choose_step(Place(320, 9), NO_AGE, 1.0) == Watch(
         c.MAX_WATCH_SECONDS
@@ -70,17 +70,17 @@
         follower.choose_step(Place(HOSTS, rank), NO_AGE, 2.0) for rank in range(HOSTS)
     ]
     ends = [step.seconds for step in steps]
-    slots = [c.WATCH_SLOT_SECONDS * (rank + 1) for rank in range(HOSTS)]
+    slots = [c.WATCH_STAGGER_SECONDS * (rank + 1) for rank in range(HOSTS)]
     assert ends == pytest.approx(slots)
 
 
 def test_changes_in_a_crowd_are_fetched_together(watching):
     watching.hear(SourceAnswered(True), 11, HOSTS, 2.0)
     step = watching.choose_step(Place(HOSTS, 0), NO_AGE, 2.0)
-    assert step.seconds == pytest.approx(c.CHANGE_PAUSE_SECONDS)
+    assert step.seconds == pytest.approx(c.CHANGE_DELAY_SECONDS)
     watching.hear(SourceAnswered(True), 12, HOSTS, 2.5)
     step = watching.choose_step(Place(HOSTS, 0), NO_AGE, 2.5)
-    assert step.seconds == pytest.approx(c.CROWD_PAUSE_SECONDS)
+    assert step.seconds == pytest.approx(c.CHANGE_BURST_DELAY_SECONDS)
 
 
 def test_a_dead_watch_shows_by_a_peer_that_is_ahead(watching):
@@ -92,7 +92,7 @@
     told = PeerTold("peer", 12, 0.1)
     assert watching.hear(told, 10, HOSTS, 5.0) == []
     assert watching.hear(told, 10, HOSTS, 5.3) == []
-    late = 5.0 + c.BEHIND_SECONDS
+    late = 5.0 + c.BEHIND_GRACE_SECONDS
     assert watching.hear(told, 10, HOSTS, late) == [AskPeer("peer"), AskSource()]
     assert watching.hear(told, 10, HOSTS, late + 0.1) == []
 
@@ -207,7 +207,7 @@
     effects = watching.hear(PeerTold("peer", 10, 0.2), 10, HOSTS, 4.5)
     assert AskSource() in effects
     step = watching.choose_step(Place(HOSTS, 0), NO_AGE, 4.5)
-    assert not isinstance(step, Pause) or step.seconds <= c.RETURN_SPREAD_SECONDS
+    assert not isinstance(step, Pause) or step.seconds <= c.RECOVERY_SPREAD_SECONDS
     again = watching.hear(PeerTold("peer", 10, 0.1), 10, HOSTS, 4.6)
     assert AskSource() not in again
 
@@ -233,7 +233,7 @@
     watching.hear(SourceFailed(), 10, HOSTS, 3.0)
     watching.hear(SourceAnswered(True), 10, HOSTS, 6.0)
     assert watching.is_after_outage(6.1)
-    assert not watching.is_after_outage(6.0 + c.OUTAGE_MEMORY_SECONDS)
+    assert not watching.is_after_outage(6.0 + c.AFTER_OUTAGE_SECONDS)
 
 
 def test_a_host_that_alone_is_cut_off_from_the_source_knows_of_no_outage(watching):
@@ -286,10 +286,10 @@
     follower.hear(PeerTold("seed", 12, 0.0), 0, 3, 0.1)
     follower.hear(PeerGave(), 12, 3, 0.2)
     step = follower.choose_step(Place(3, 0), NO_AGE, 1.0)
-    assert step == Watch(c.FED_WATCH_SECONDS)
+    assert step == Watch(c.STANDBY_WATCH_SECONDS)
     follower.hear(SourceAnswered(False), 12, 3, 1.1)
     later = follower.choose_step(Place(3, 0), NO_AGE, 1.1)
-    assert isinstance(later, Watch) and later.seconds > c.FED_WATCH_SECONDS
+    assert isinstance(later, Watch) and later.seconds > c.STANDBY_WATCH_SECONDS
 
 
 def test_a_host_that_a_peer_refuses_asks_another_one_at_once():
@@ -339,7 +339,7 @@
     for turn in range(40):
         follower.hear(PeerTold("busy", 12, 0.0), 0, 3, 0.1 * turn)
     assert (
-        follower.choose_step(Place(3, 0), NO_AGE, c.START_LONGEST_SECONDS) == ReadAll()
+        follower.choose_step(Place(3, 0), NO_AGE, c.MAX_START_WAIT_SECONDS) == ReadAll()
     )
 
 
@@ -378,8 +378,8 @@
     them, and will get none; it answers again, but each host waits for its watch's end.
     """
     watching.choose_step(Place(HOSTS, 0), NO_AGE, 1.0)
-    assert watching.hear(Unconfirmed(c.UNCONFIRMED_SECONDS), 10, HOSTS, 3.0) == []
-    late = Unconfirmed(c.UNCONFIRMED_SECONDS + 0.1)
+    assert watching.hear(Unconfirmed(c.MAX_CONFIRMED_AGE_SECONDS), 10, HOSTS, 3.0) == []
+    late = Unconfirmed(c.MAX_CONFIRMED_AGE_SECONDS + 0.1)
     assert watching.hear(late, 10, HOSTS, 3.3) == [AskSource()]
     assert watching.choose_step(Place(HOSTS, 0), 2.3, 3.3) == ReadAll()
     assert watching.hear(late, 10, HOSTS, 3.4) == []
--- a/libraries/gateway/tests/test_overdue.py
+++ b/libraries/gateway/tests/test_overdue.py
@@ -43,7 +43,7 @@
     """Its aim is over: a second read would only take another engine's time."""
     site, asked = await make_pair(aim_seconds=0.1)
     asking = asyncio.create_task(site.async_ask_prompt(PROMPT))
-    await asyncio.sleep(c.OVERDUE_SECONDS + 0.4)
+    await asyncio.sleep(c.OVERDUE_MARGIN_SECONDS + 0.4)
     assert len(asked) == 1
     asking.cancel()
 
@@ -53,16 +53,16 @@
     site, asked = await make_pair()
     site.state.budget.bounds = BudgetBounds(0.0, 0.0, 10.0)
     asking = asyncio.create_task(site.async_ask_prompt(PROMPT))
-    await asyncio.sleep(c.OVERDUE_SECONDS + 0.4)
+    await asyncio.sleep(c.OVERDUE_MARGIN_SECONDS + 0.4)
     assert len(asked) == 1
     asking.cancel()
 
 
 async def test_no_other_engine_is_looked_for_among_thousands(make_pair, monkeypatch):
     """A plan among all engines of a very large fleet holds its host up."""
-    monkeypatch.setattr(c, "MAX_WIDE_ENGINES", 1)
+    monkeypatch.setattr(c, "MAX_CROSS_CELL_ENGINES", 1)
     site, asked = await make_pair()
     asking = asyncio.create_task(site.async_ask_prompt(PROMPT))
-    await asyncio.sleep(c.OVERDUE_SECONDS + 0.4)
+    await asyncio.sleep(c.OVERDUE_MARGIN_SECONDS + 0.4)
     assert len(asked) == 1
     asking.cancel()
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -89,7 +89,7 @@
 
 async def test_target_comes_back_once_it_can_be_reached(monkeypatch):
     """No request is spent on trying: a connection without one is enough."""
-    monkeypatch.setattr(c, "PROBE_ROUND_SECONDS", 0.01)
+    monkeypatch.setattr(c, "TARGET_PROBE_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(placement_const, "EJECTION_BASE_SECONDS", 0.02)
     server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
@@ -113,7 +113,7 @@
     Ended, it would connect to nothing any more, and a target that is well again would
     stay out as long as others are there.
     """
-    monkeypatch.setattr(c, "PROBE_ROUND_SECONDS", 0.01)
+    monkeypatch.setattr(c, "TARGET_PROBE_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(background, "RESTART_SECONDS", 0.02)
     doubts = Doubts([("a", CLOSED)])
     rounds = []
@@ -136,7 +136,7 @@
     Their probes fail each round with no answer between them. Counted like sends, they
     would leave the third one out, which is well, for as long as the two are registered.
     """
-    monkeypatch.setattr(c, "PROBE_ROUND_SECONDS", 0.01)
+    monkeypatch.setattr(c, "TARGET_PROBE_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(placement_const, "EJECTION_BASE_SECONDS", 0.01)
     doubts = Doubts([("a", CLOSED)] * 3)
     for target in doubts.targets[:2]:
--- a/libraries/gateway/tests/test_publications.py
+++ b/libraries/gateway/tests/test_publications.py
@@ -169,7 +169,7 @@
     first, _ = await start(FIRST, source)
     second, _ = await start(SECOND, dead)
     await async_wait_for(lambda: second.table is not None and len(second.registry))
-    assert read_clock() - second.table_confirmed_at < const.TABLE_FRESH_SECONDS
+    assert read_clock() - second.table_confirmed_at < const.MAX_FRESH_TABLE_AGE_SECONDS
     source.put("table", b"7")
     await async_wait_for(lambda: second.table.version == 7)
     assert first.table.version == 7
@@ -189,7 +189,7 @@
     The store was silent to this host while its watch came, and never answers it; it
     would answer a new call. No peer is there to show what is new.
     """
-    monkeypatch.setattr(const, "UNCONFIRMED_SECONDS", 0.3)
+    monkeypatch.setattr(const, "MAX_CONFIRMED_AGE_SECONDS", 0.3)
     source = Source(get_items())
     state, _ = await start(FIRST, source)
     # The page, then the watch, which waits from here on and is never woken.
@@ -207,7 +207,7 @@
     way for a while. What was published meanwhile is not in it.
     """
     monkeypatch.setattr(const, "MIN_WATCH_SECONDS", 0.2)
-    monkeypatch.setattr(const, "WATCH_SLOT_SECONDS", 0.2)
+    monkeypatch.setattr(const, "WATCH_STAGGER_SECONDS", 0.2)
     state, _ = await start(FIRST, Source(get_items(), transfer_seconds=0.5))
     await async_wait_for_table(state, 4)
     first = state.table_confirmed_at
--- a/libraries/gateway/tests/test_pulls.py
+++ b/libraries/gateway/tests/test_pulls.py
@@ -11,7 +11,7 @@
     word to begin a pull, all would share the link and none would end in time.
     """
     limit = PullLimit()
-    begun = [limit.begin(number * c.ASK_PEER_SECONDS) for number in range(8)]
+    begun = [limit.begin(number * c.PEER_PULL_INTERVAL_SECONDS) for number in range(8)]
     assert begun == [True] * c.MAX_PULLS + [False] * (8 - c.MAX_PULLS)
 
 
--- a/libraries/gateway/tests/test_readers.py
+++ b/libraries/gateway/tests/test_readers.py
@@ -55,7 +55,7 @@
     places = choose_all(build_hosts(75))
     readers = [place for place in places.values() if place.fed_rank is None]
     groups = {place.group for place in places.values()}
-    assert len(readers) == c.READERS_A_GROUP * len(groups) == readers[0].hosts
+    assert len(readers) == c.POLLERS_PER_GROUP * len(groups) == readers[0].hosts
     assert {place.rank for place in readers} == set(range(len(readers)))
     assert all(name in place.group for name, place in places.items())
 
@@ -76,16 +76,18 @@
     own short watch shows what is new; its answer is what the others wait for.
     """
     step = fed.choose_step(FED, 0.3, 2.0)
-    assert step == Pause(pytest.approx(c.FED_SECONDS - 0.3))
-    assert fed.choose_step(FED, c.FED_SECONDS, 3.0) == Watch(c.FED_WATCH_SECONDS)
+    assert step == Pause(pytest.approx(c.STANDBY_POLL_AGE_SECONDS - 0.3))
+    assert fed.choose_step(FED, c.STANDBY_POLL_AGE_SECONDS, 3.0) == Watch(
+        c.STANDBY_WATCH_SECONDS
+    )
     behind = Place(18, 1, fed_rank=4, group=FED.group)
-    assert isinstance(fed.choose_step(behind, c.FED_SECONDS, 3.0), Pause)
+    assert isinstance(fed.choose_step(behind, c.STANDBY_POLL_AGE_SECONDS, 3.0), Pause)
 
 
 def test_a_fed_host_that_is_behind_pulls_at_once_and_asks_no_source(fed):
     told = PeerTold("mate", 11, 0.01)
     assert fed.hear(told, 10, 75, 1.1) == [AskPeer("mate")]
-    assert fed.hear(told, 10, 75, 1.1 + c.BEHIND_SECONDS) == [AskPeer("mate")]
+    assert fed.hear(told, 10, 75, 1.1 + c.BEHIND_GRACE_SECONDS) == [AskPeer("mate")]
     assert fed.hear(told, 11, 75, 2.0) == [Confirm(0.01)]
     assert isinstance(fed.choose_step(FED, 0.01, 2.0), Pause)
 
@@ -109,5 +111,5 @@
         follower.choose_step(Place(18, rank, group=READER.group), 0.0, 2.0).seconds
         for rank in range(18)
     ]
-    slots = [c.FED_WATCH_SLOT_SECONDS * (rank + 1) for rank in range(18)]
+    slots = [c.POLLER_WATCH_STAGGER_SECONDS * (rank + 1) for rank in range(18)]
     assert waits == pytest.approx(slots)
--- a/libraries/gateway/tests/test_reading.py
+++ b/libraries/gateway/tests/test_reading.py
@@ -28,7 +28,7 @@
     """
     reading = WholeReading()
     reading.take(make_page("a", 5, "a"), 1.0)
-    assert reading.choose_after(1.0 + c.MAX_READING_SECONDS) == "a"
+    assert reading.choose_after(1.0 + c.MAX_PAGED_READ_AGE_SECONDS) == "a"
 
 
 def test_reading_that_grew_old_is_begun_anew():
@@ -39,7 +39,7 @@
     """
     reading = WholeReading()
     reading.take(make_page("a", 5, "a"), 1.0)
-    assert reading.choose_after(1.1 + c.MAX_READING_SECONDS) == ""
+    assert reading.choose_after(1.1 + c.MAX_PAGED_READ_AGE_SECONDS) == ""
     read = reading.take(make_page("b", 7), 20.0)
     assert [record.key for record in read.records] == ["b"]
     reading.take(make_page("a", 8, "a"), 21.0)
--- a/libraries/gateway/tests/test_reload.py
+++ b/libraries/gateway/tests/test_reload.py
@@ -106,7 +106,9 @@
 
 
 async def test_a_signal_has_the_file_read_at_once(state, path, monkeypatch):
-    monkeypatch.setattr("tarragonward_gateway.const.SETTINGS_CHECK_SECONDS", 600.0)
+    monkeypatch.setattr(
+        "tarragonward_gateway.const.SETTINGS_CHECK_INTERVAL_SECONDS", 600.0
+    )
     task = SettingsTask(state, path)
     await task.async_setup()
     changed = asyncio.Event()
--- a/libraries/gateway/tests/test_silence.py
+++ b/libraries/gateway/tests/test_silence.py
@@ -28,7 +28,7 @@
 
 async def test_silence_ends_nothing_while_no_other_may_go_on(monkeypatch):
     """A caller that no other target can serve keeps the answer that may still come."""
-    monkeypatch.setattr(c, "SILENCE_AGAIN_SECONDS", 0.01)
+    monkeypatch.setattr(c, "SILENCE_RECHECK_SECONDS", 0.01)
     asked = []
 
     def may_leave():
@@ -50,7 +50,7 @@
 
 async def test_an_overdue_target_is_kept_while_no_other_is_in_time(monkeypatch):
     """A second read of the prompt elsewhere would only come later still."""
-    monkeypatch.setattr(c, "SILENCE_AGAIN_SECONDS", 0.01)
+    monkeypatch.setattr(c, "SILENCE_RECHECK_SECONDS", 0.01)
     with pytest.raises(TargetSilentError):
         async with SilenceWatch(0.05, 5.0, lambda: True, 0.01, lambda: False):
             await asyncio.Event().wait()
--- a/libraries/gateway/tests/test_start.py
+++ b/libraries/gateway/tests/test_start.py
@@ -41,7 +41,7 @@
 async def test_a_host_that_is_up_for_long_refuses_at_once(starting):
     """While the source is away, callers are to try another host."""
     site, _ = starting
-    site.state.started_at -= c.START_SECONDS
+    site.state.started_at -= c.STARTUP_SECONDS
     async with asyncio.timeout(c.START_HOLD_SECONDS / 2):
         assert (await site.async_ask()).status == 503
 
