--- a/libraries/bench/tarragonward_bench/harm/crashes.py
+++ b/libraries/bench/tarragonward_bench/harm/crashes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from tarragonward_gateway.suspect_gossip import SuspectGossip
-from tarragonward_requests import SuspectLedger, Verdict
+from tarragonward_requests import SuspectTracker, Verdict
 
 from ..hearing.world import Links, World
 from .host import HarmFleet, HarmHost, Section
@@ -74,7 +74,7 @@
 class _Host(HarmHost):
     def __init__(self, run: CrashRun, number: int) -> None:
         super().__init__(run.fleet, number)
-        self.ledger = SuspectLedger()
+        self.ledger = SuspectTracker()
         self.gossip = SuspectGossip(self.ledger, self.members, self.random)
         self.sections[SECTION] = Section(self._build, self._take)
 
@@ -198,9 +198,9 @@
             return
         request, host = attempt.request, attempt.host
         is_isolated = host.members.is_isolated
-        verdict = host.ledger.judge(request.fingerprint, self.world.now, is_isolated)
+        verdict = host.ledger.evaluate(request.fingerprint, self.world.now, is_isolated)
         if verdict is Verdict.REFUSED:
-            host.ledger.note_refused(request.fingerprint, self.world.now)
+            host.ledger.record_refused(request.fingerprint, self.world.now)
             self.innocent_refused += not request.is_culprit
         elif verdict is not Verdict.LATER and len(attempt.tried) < ATTEMPTS:
             self._send(attempt, verdict is Verdict.ALONE)
@@ -239,7 +239,7 @@
         if not host.wake_at(self._take_answer, attempt):
             return
         self.answered += 1
-        if host.ledger.note_answered(fingerprint, self.world.now):
+        if host.ledger.record_answered(fingerprint, self.world.now):
             host.note_changed(fingerprint)
 
     def _end_target(self, target: _Target, by: _Attempt | None) -> None:
@@ -264,7 +264,7 @@
         if not host.wake_at(self._note_lost, attempt, target):
             return
         now = self.world.now
-        host.ledger.note_crash(request.fingerprint, request.size, target.boot, now)
+        host.ledger.record_crash(request.fingerprint, request.size, target.boot, now)
         host.note_changed(request.fingerprint)
         self._begin(attempt)
 
--- a/libraries/bench/tarragonward_bench/harm/spread.py
+++ b/libraries/bench/tarragonward_bench/harm/spread.py
@@ -37,14 +37,14 @@
     world.run(world.now + LONGEST_SECONDS)
     usual = fleet.sent_bytes - before
     for target, host in enumerate(run.random.sample(list(fleet.hosts.values()), 3)):
-        host.ledger.note_crash(FINGERPRINT, BODY_BYTES, target, world.now)
+        host.ledger.record_crash(FINGERPRINT, BODY_BYTES, target, world.now)
         host.note_changed(FINGERPRINT)
     before, began = fleet.sent_bytes, world.now
     known_at: list[float] = []
     while world.now < began + LONGEST_SECONDS:
         world.run(world.now + STEP_SECONDS)
         refusing = sum(
-            host.ledger.judge(FINGERPRINT, world.now) is Verdict.REFUSED
+            host.ledger.evaluate(FINGERPRINT, world.now) is Verdict.REFUSED
             for host in fleet.hosts.values()
         )
         known_at += [world.now - began] * (refusing - len(known_at))
--- a/libraries/bench/tests/test_harm.py
+++ b/libraries/bench/tests/test_harm.py
@@ -32,7 +32,7 @@
 
 def test_innocents_that_pay_for_one_crash_are_found_out(monkeypatch):
     """All that is beside a crash would be refused: the runs must see it."""
-    monkeypatch.setattr(const, "CRASHES_UNTIL_REFUSED", 1)
+    monkeypatch.setattr(const, "REFUSE_AFTER_CRASHES", 1)
     with pytest.raises(AssertionError, match="without a culprit"):
         CrashRun(CrashPlan(culprits=0, has_troubles=False), 1).run()
 
--- a/libraries/gateway/tarragonward_gateway/suspect_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_gossip.py
@@ -12,8 +12,8 @@
 from tarragonward_core import Address
 from tarragonward_membership import SeedMembership, SeedPeer
 from tarragonward_membership.const import MAX_MESH_PEERS
-from tarragonward_requests import SuspectEntry, SuspectLedger
-from tarragonward_requests.const import CRASHES_UNTIL_ALONE
+from tarragonward_requests import SuspectEntry, SuspectTracker
+from tarragonward_requests.const import RUN_ALONE_AFTER_CRASHES
 
 from . import const as c
 from .turns import Turn
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, ledger: SuspectLedger, members: SeedMembership, rng: random.Random
+        self, ledger: SuspectTracker, members: SeedMembership, rng: random.Random
     ) -> None:
         self._ledger = ledger
         self._members = members
@@ -82,8 +82,8 @@
         """Return a few of those that all should know, others at each call."""
         known = [
             fingerprint
-            for fingerprint, suspect in self._ledger.iterate()
-            if len(suspect.crashes) >= CRASHES_UNTIL_ALONE
+            for fingerprint, suspect in self._ledger.items()
+            if len(suspect.crashes) >= RUN_ALONE_AFTER_CRASHES
         ]
         return self._turn.take(known, c.MAX_SUSPECTS_PER_ROUND)
 
@@ -91,7 +91,7 @@
         """Take what another host told; raise ValueError where it is malformed."""
         for item in data:
             entry = SuspectEntry.unpack(item)
-            if self._ledger.take(entry, now, age):
+            if self._ledger.merge(entry, now, age):
                 turn = self._random.random() * c.SUSPECT_RELAY_JITTER_SECONDS
                 self.note_changed(entry.fingerprint, now, turn)
             elif self._knows_no_more(entry):
@@ -100,7 +100,7 @@
     def _choose_told(self, fingerprint: bytes) -> tuple[Address, ...]:
         peers = self._members.get_peers()
         suspect = self._ledger.get(fingerprint)
-        is_for_all = suspect is None or len(suspect.crashes) >= CRASHES_UNTIL_ALONE
+        is_for_all = suspect is None or len(suspect.crashes) >= RUN_ALONE_AFTER_CRASHES
         if is_for_all or len(peers) <= MAX_MESH_PEERS:
             return tuple(peer.identity.address for peer in peers)
         return choose_keepers(fingerprint, peers)
--- a/libraries/gateway/tarragonward_gateway/suspects.py
+++ b/libraries/gateway/tarragonward_gateway/suspects.py
@@ -9,7 +9,7 @@
 
 from tarragonward_core import log_event
 from tarragonward_membership import RegisteredTarget, hash_name
-from tarragonward_requests import SuspectLedger, Verdict, fingerprint_request
+from tarragonward_requests import SuspectTracker, Verdict, fingerprint_request
 from tarragonward_routes import Account
 from tarragonward_wire import HttpRequest
 
@@ -47,7 +47,7 @@
     """The ledger of one host; on_news is called with what other hosts should hear."""
 
     def __init__(self, state: GatewayState, probes: TargetProbes) -> None:
-        self.ledger = SuspectLedger()
+        self.ledger = SuspectTracker()
         # Whether this host hears none of the others.
         self.is_isolated: Callable[[], bool] = lambda: False
         self.on_news: list[Callable[[bytes], None]] = []
@@ -56,10 +56,10 @@
 
     def judge(self, identity: RequestIdentity) -> Verdict:
         """Return what may be done with a request."""
-        if not self.ledger.may_know(identity.body_size):
+        if not self.ledger.may_contain(identity.body_size):
             return Verdict.CLEAR
         fingerprint = identity.fingerprint
-        return self.ledger.judge(fingerprint, read_clock(), self.is_isolated())
+        return self.ledger.evaluate(fingerprint, read_clock(), self.is_isolated())
 
     def get_wait_seconds(self, identity: RequestIdentity) -> float:
         """Return for how long a request that is judged LATER has to wait."""
@@ -76,7 +76,7 @@
             return
         fingerprint, now = identity.fingerprint, read_clock()
         number = hash_name(target.id)
-        self.ledger.note_crash(fingerprint, identity.body_size, number, now)
+        self.ledger.record_crash(fingerprint, identity.body_size, number, now)
         self._state.metrics.count("requests_lost_in_crashes")
         log_event(
             "crash_noted",
@@ -88,17 +88,17 @@
 
     def note_answered(self, identity: RequestIdentity) -> None:
         """Note a whole answer of a target."""
-        if not self.ledger.may_know(identity.body_size):
+        if not self.ledger.may_contain(identity.body_size):
             return
         fingerprint = identity.fingerprint
-        if self.ledger.note_answered(fingerprint, read_clock()):
+        if self.ledger.record_answered(fingerprint, read_clock()):
             log_event("suspect_acquitted", fingerprint=fingerprint.hex())
             self._tell(fingerprint)
 
     def note_refused(self, identity: RequestIdentity) -> None:
         """Note that a request was refused for what it has done."""
         self._state.metrics.count("requests_blamed")
-        self.ledger.note_refused(identity.fingerprint, read_clock())
+        self.ledger.record_refused(identity.fingerprint, read_clock())
 
     @contextmanager
     def trial(self, identity: RequestIdentity) -> Iterator[None]:
@@ -113,7 +113,7 @@
 
     def lift(self, fingerprint: bytes) -> bool:
         """Forget, at an operator's word, what a request has done; tell all hosts."""
-        has_lifted = self.ledger.lift(fingerprint, read_clock())
+        has_lifted = self.ledger.clear(fingerprint, read_clock())
         if has_lifted:
             log_event("suspect_lifted", fingerprint=fingerprint.hex())
             self._tell(fingerprint)
@@ -126,11 +126,11 @@
             {
                 "fingerprint": fingerprint.hex(),
                 "body_bytes": suspect.body_size,
-                "targets_ended": len(suspect.targets),
-                "verdict": self.ledger.judge(fingerprint, now).value,
-                "idle_seconds": round(now - suspect.renewed_at, 1),
+                "targets_ended": len(suspect.uncleared_targets),
+                "verdict": self.ledger.evaluate(fingerprint, now).value,
+                "idle_seconds": round(now - suspect.last_activity_at, 1),
             }
-            for fingerprint, suspect in self.ledger.iterate()
+            for fingerprint, suspect in self.ledger.items()
         ]
         return sorted(known, key=lambda one: -one["targets_ended"])
 
--- a/libraries/gateway/tests/test_crashes.py
+++ b/libraries/gateway/tests/test_crashes.py
@@ -63,10 +63,10 @@
     victim = FINGERPRINT
     ledger = site.forwarder.suspects.ledger
     for target in (1, 2):
-        ledger.note_crash(victim, len(b"other"), target, read_clock())
-    assert ledger.judge(victim, read_clock()) is Verdict.ALONE
+        ledger.record_crash(victim, len(b"other"), target, read_clock())
+    assert ledger.evaluate(victim, read_clock()) is Verdict.ALONE
     assert (await ask(site, b"other")).status == 200
-    assert ledger.judge(victim, read_clock()) is Verdict.CLEAR
+    assert ledger.evaluate(victim, read_clock()) is Verdict.CLEAR
 
 
 async def test_a_refusal_tells_the_truth_and_no_time_to_come_back(make_site):
--- a/libraries/gateway/tests/test_operators.py
+++ b/libraries/gateway/tests/test_operators.py
@@ -116,7 +116,7 @@
     site.state.settings = replace(site.state.settings, metrics=free)
     suspects = site.forwarder.suspects
     for target in range(3):
-        suspects.ledger.note_crash(b"12345678", 9, target, read_clock())
+        suspects.ledger.record_crash(b"12345678", 9, target, read_clock())
     operators = OperatorsTask(site.state, site.chooser.reach, suspects)
     await operators.async_setup()
 
@@ -128,7 +128,7 @@
     path = f"/suspects/{shown['fingerprint']}"
     assert (await ask("DELETE", "/suspects/none")).status == 404
     assert (await ask("DELETE", path)).status == 200
-    assert suspects.ledger.judge(b"12345678", read_clock()) is Verdict.CLEAR
+    assert suspects.ledger.evaluate(b"12345678", read_clock()) is Verdict.CLEAR
     assert (await ask("DELETE", path)).status == 404
     await operators.async_unload()
 
--- a/libraries/gateway/tests/test_suspect_task.py
+++ b/libraries/gateway/tests/test_suspect_task.py
@@ -39,10 +39,10 @@
 
     @property
     def verdict(self):
-        return self.watch.ledger.judge(FINGERPRINT, read_clock())
+        return self.watch.ledger.evaluate(FINGERPRINT, read_clock())
 
     def crash(self, target):
-        self.watch.ledger.note_crash(FINGERPRINT, 9, target, read_clock())
+        self.watch.ledger.record_crash(FINGERPRINT, 9, target, read_clock())
         for notify in self.watch.on_news:
             notify(FINGERPRINT)
 
--- a/libraries/requests/tarragonward_requests/__init__.py
+++ b/libraries/requests/tarragonward_requests/__init__.py
@@ -41,7 +41,7 @@
 from .outliers import ListLifetime, OutlierDetector, PlainBackoff, ProbedBackoff
 from .retries import RetryBudget
 from .shared_budget import BudgetBounds, SharedBudget
-from .suspects import Suspect, SuspectEntry, SuspectLedger, Verdict
+from .suspects import Suspect, SuspectEntry, SuspectTracker, Verdict
 from .sweep import HeldMemory, OwnerSign, Sweep
 
 __all__ = [
@@ -92,7 +92,7 @@
     "StreamEvent",
     "Suspect",
     "SuspectEntry",
-    "SuspectLedger",
+    "SuspectTracker",
     "Sweep",
     "TargetAnswered",
     "TextArrived",
--- a/libraries/requests/tarragonward_requests/fingerprints.py
+++ b/libraries/requests/tarragonward_requests/fingerprints.py
@@ -8,7 +8,7 @@
 
 FINGERPRINT_BYTES = 8
 # Lengths before the parts, so that no two lists of parts give the same bytes.
-LENGTH_BYTES = 8
+LENGTH_PREFIX_BYTES = 8
 
 
 def fingerprint_request(
@@ -22,6 +22,6 @@
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     parts = (account.encode(), method.encode(), host.lower().encode(), target, body)
     for part in parts:
-        digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
+        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, "big"))
         digest.update(part)
     return digest.digest()
--- a/libraries/requests/tarragonward_requests/lifecycle.py
+++ b/libraries/requests/tarragonward_requests/lifecycle.py
@@ -203,7 +203,7 @@
         lifecycle._note_run()
     if lifecycle._has_ended_engine(event.fault):
         lifecycle._ended_engines += 1
-    if lifecycle._ended_engines >= c.CRASHES_UNTIL_REFUSED:
+    if lifecycle._ended_engines >= c.REFUSE_AFTER_CRASHES:
         return lifecycle._end(ResultCode.FORWARD_CRASHED_TARGETS)
     return lifecycle._recover(event.fault, now)
 
--- a/libraries/requests/tarragonward_requests/suspects.py
+++ b/libraries/requests/tarragonward_requests/suspects.py
@@ -11,10 +11,10 @@
 from . import const as c
 from .fingerprints import FINGERPRINT_BYTES
 
-__all__ = ["Suspect", "SuspectEntry", "SuspectLedger", "Verdict"]
+__all__ = ["Suspect", "SuspectEntry", "SuspectTracker", "Verdict"]
 
 MILLISECONDS = 1_000
-MAX_NUMBER = 1 << 62
+MAX_INTEGER = 1 << 62
 NEVER = float("-inf")
 
 
@@ -33,42 +33,45 @@
 class SuspectEntry:
     """What one host tells another of a request; times are in seconds.
 
-    crashes holds a number for each target that ended under the request, acquitted the
-    ones of them that a whole answer has cleared it of. idle_age is since anyone saw a
-    crash under it, answered or refused it.
+    crashes has a number for each target that crashed while running the request; cleared
+    is the subset that a complete answer has cleared the request of. idle_seconds is the
+    time since any host saw a crash, an answer or a refusal of the request.
     """
 
     fingerprint: bytes
     body_size: int
     crashes: tuple[int, ...]
-    acquitted: tuple[int, ...]
-    idle_age: float
+    cleared: tuple[int, ...]
+    idle_seconds: float
     trial_seconds: float = 0.0
 
     def pack(self) -> tuple[Any, ...]:
         """Return the entry as it travels."""
-        idle, trial = _pack_seconds(self.idle_age), _pack_seconds(self.trial_seconds)
-        targets = list(self.crashes), list(self.acquitted)
+        idle, trial = (
+            _pack_seconds(self.idle_seconds),
+            _pack_seconds(self.trial_seconds),
+        )
+        targets = list(self.crashes), list(self.cleared)
         return self.fingerprint, self.body_size, *targets, idle, trial
 
     @classmethod
     def unpack(cls, item: Any) -> SuspectEntry:
         """Return the entry that pack() gave; raise ValueError if it is not one."""
-        fingerprint, size, crashes, acquitted, idle, trial = item
+        fingerprint, size, crashes, cleared, idle, trial = item
         if type(fingerprint) is not bytes or len(fingerprint) != FINGERPRINT_BYTES:
             raise ValueError("not a fingerprint")
-        numbers = (size, idle, trial, *crashes, *acquitted)
-        if not all(type(n) is int and 0 <= n < MAX_NUMBER for n in numbers):
+        numbers = (size, idle, trial, *crashes, *cleared)
+        if not all(type(n) is int and 0 <= n < MAX_INTEGER for n in numbers):
             raise ValueError("a number is not one")
-        if len(crashes) > c.MAX_SUSPECT_TARGETS or not set(acquitted) <= set(crashes):
+        if len(crashes) > c.MAX_CRASHES_PER_SUSPECT or not set(cleared) <= set(crashes):
             raise ValueError("not the targets that ended")
         return cls(
             fingerprint,
             size,
             tuple(crashes),
-            tuple(acquitted),
+            tuple(cleared),
             idle / MILLISECONDS,
-            min(trial / MILLISECONDS, c.TRIAL_SECONDS),
+            min(trial / MILLISECONDS, c.SUSPECT_TRIAL_SECONDS),
         )
 
 
@@ -76,48 +79,48 @@
 class Suspect:
     """A request under which targets ended; times are the ledger's, in seconds.
 
-    What it was acquitted of is kept by target, not by time: ages that hosts tell each
-    other again and again drift, and a request would be acquitted of later crashes.
+    What it was cleared of is kept by target, not by time: ages that hosts tell each
+    other again and again drift, and a request would be cleared of later crashes.
     """
 
     body_size: int
-    renewed_at: float
-    # In the order in which they became known; the values say which were acquitted.
+    last_activity_at: float
+    # In the order in which they became known; the values say which were cleared.
     crashes: dict[int, bool] = field(default_factory=dict)
-    tried_until: float = NEVER
+    trial_until: float = NEVER
     # When this host itself last saw a target end under it.
-    seen_at: float = NEVER
+    last_local_crash_at: float = NEVER
 
     @property
-    def targets(self) -> frozenset[int]:
+    def uncleared_targets(self) -> frozenset[int]:
         """Return the targets that ended under it and that no answer cleared it of."""
-        return frozenset(t for t, acquitted in self.crashes.items() if not acquitted)
+        return frozenset(t for t, cleared in self.crashes.items() if not cleared)
 
-    def note_crash(self, target: int) -> None:
+    def record_crash(self, target: int) -> None:
         """Count a target that ended, once."""
         if target in self.crashes:
             return
-        if len(self.crashes) >= c.MAX_SUSPECT_TARGETS:
+        if len(self.crashes) >= c.MAX_CRASHES_PER_SUSPECT:
             oldest = max(self.crashes, key=self.crashes.__getitem__)
             del self.crashes[oldest]
         self.crashes[target] = False
 
-    def acquit(self, targets: Iterable[int]) -> None:
+    def clear(self, targets: Iterable[int]) -> None:
         """Clear it of these targets."""
         self.crashes.update(dict.fromkeys(set(targets) & self.crashes.keys(), True))
 
     @property
     def expires_at(self) -> float:
         """Return when it is forgotten, unless it is seen again."""
-        count = len(self.targets)
+        count = len(self.uncleared_targets)
         if not count:
-            return self.renewed_at + c.ACQUITTAL_MEMORY_SECONDS
-        if count < c.CRASHES_UNTIL_REFUSED:
-            return self.renewed_at + c.SUSPECT_MEMORY_SECONDS
-        return self.renewed_at + c.REFUSED_MEMORY_SECONDS
+            return self.last_activity_at + c.CLEARED_RETENTION_SECONDS
+        if count < c.REFUSE_AFTER_CRASHES:
+            return self.last_activity_at + c.SUSPECT_RETENTION_SECONDS
+        return self.last_activity_at + c.REFUSED_RETENTION_SECONDS
 
 
-class SuspectLedger:
+class SuspectTracker:
     """The requests under which targets ended, by fingerprint; times in seconds.
 
     All that is in progress at a target that ends is suspected, so one crash says
@@ -130,19 +133,19 @@
 
     def __init__(self) -> None:
         self._suspects: dict[bytes, Suspect] = {}
-        self._sizes: Counter[int] = Counter()
+        self._size_counts: Counter[int] = Counter()
         # Those that enough targets have ended under to be refused.
-        self._worst: set[bytes] = set()
+        self._refused: set[bytes] = set()
 
     def __len__(self) -> int:
         """Return how many requests are known."""
         return len(self._suspects)
 
-    def may_know(self, body_size: int) -> bool:
+    def may_contain(self, body_size: int) -> bool:
         """Return whether a request with a body of so many bytes may be known."""
-        return self._sizes[body_size] > 0
+        return self._size_counts[body_size] > 0
 
-    def judge(
+    def evaluate(
         self, fingerprint: bytes, now: float, is_isolated: bool = False
     ) -> Verdict:
         """Return what may be done with a request.
@@ -155,13 +158,17 @@
         if suspect is None:
             return Verdict.CLEAR
         count = self.count(fingerprint)
-        if count >= c.CRASHES_UNTIL_REFUSED:
+        if count >= c.REFUSE_AFTER_CRASHES:
             return Verdict.REFUSED
-        if count and is_isolated and now < suspect.seen_at + c.ISOLATED_REST_SECONDS:
+        if (
+            count
+            and is_isolated
+            and now < suspect.last_local_crash_at + c.ISOLATED_RETRY_DELAY_SECONDS
+        ):
             return Verdict.LATER
-        if count < c.CRASHES_UNTIL_ALONE:
+        if count < c.RUN_ALONE_AFTER_CRASHES:
             return Verdict.CLEAR
-        return Verdict.LATER if now < suspect.tried_until else Verdict.ALONE
+        return Verdict.LATER if now < suspect.trial_until else Verdict.ALONE
 
     def count(self, fingerprint: bytes) -> int:
         """Return how many targets a request has ended, others' victims left out.
@@ -172,10 +179,10 @@
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return 0
-        targets = suspect.targets
+        targets = suspect.uncleared_targets
         explained: set[int] = set()
-        for worst in self._worst:
-            others = self._suspects[worst].targets
+        for refused in self._refused:
+            others = self._suspects[refused].uncleared_targets
             if len(others) > len(targets):
                 explained |= others
         return len(targets - explained)
@@ -187,51 +194,53 @@
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return 0.0
-        until = suspect.tried_until
+        until = suspect.trial_until
         if is_isolated:
-            until = max(until, suspect.seen_at + c.ISOLATED_REST_SECONDS)
+            until = max(
+                until, suspect.last_local_crash_at + c.ISOLATED_RETRY_DELAY_SECONDS
+            )
         return max(0.0, until - now)
 
-    def note_crash(
+    def record_crash(
         self, fingerprint: bytes, body_size: int, target: int, now: float
     ) -> None:
         """Note that a target ended under a request."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             suspect = self._add(fingerprint, body_size, now)
-        suspect.note_crash(target)
-        suspect.seen_at = now
-        suspect.renewed_at = max(now, suspect.renewed_at)
-        self._sort(fingerprint)
+        suspect.record_crash(target)
+        suspect.last_local_crash_at = now
+        suspect.last_activity_at = max(now, suspect.last_activity_at)
+        self._update_refused(fingerprint)
 
-    def note_answered(self, fingerprint: bytes, now: float) -> bool:
+    def record_answered(self, fingerprint: bytes, now: float) -> bool:
         """Acquit a request that had a whole answer; return whether it was suspected."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or not suspect.targets:
+        if suspect is None or not suspect.uncleared_targets:
             return False
-        suspect.acquit(suspect.targets)
-        suspect.renewed_at = max(now, suspect.renewed_at)
-        suspect.tried_until = NEVER
-        self._sort(fingerprint)
+        suspect.clear(suspect.uncleared_targets)
+        suspect.last_activity_at = max(now, suspect.last_activity_at)
+        suspect.trial_until = NEVER
+        self._update_refused(fingerprint)
         return True
 
-    def note_refused(self, fingerprint: bytes, now: float) -> None:
+    def record_refused(self, fingerprint: bytes, now: float) -> None:
         """Note that a request was refused: it is asked still, so not forgotten."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            suspect.renewed_at = max(now, suspect.renewed_at)
+            suspect.last_activity_at = max(now, suspect.last_activity_at)
 
     def begin_trial(self, fingerprint: bytes, now: float) -> None:
         """Note that this host tries a request now."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            suspect.tried_until = now + c.TRIAL_SECONDS
+            suspect.trial_until = now + c.SUSPECT_TRIAL_SECONDS
 
     def end_trial(self, fingerprint: bytes) -> None:
         """Note that the trial is over."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            suspect.tried_until = NEVER
+            suspect.trial_until = NEVER
 
     def build_entry(self, fingerprint: bytes, now: float) -> SuspectEntry | None:
         """Return what is known of a request, as it is told to other hosts."""
@@ -242,12 +251,12 @@
             fingerprint,
             suspect.body_size,
             tuple(suspect.crashes),
-            tuple(t for t, acquitted in suspect.crashes.items() if acquitted),
-            now - suspect.renewed_at,
-            max(0.0, suspect.tried_until - now),
+            tuple(t for t, cleared in suspect.crashes.items() if cleared),
+            now - suspect.last_activity_at,
+            max(0.0, suspect.trial_until - now),
         )
 
-    def take(self, entry: SuspectEntry, now: float, age: float = 0.0) -> bool:
+    def merge(self, entry: SuspectEntry, now: float, age: float = 0.0) -> bool:
         """Take in what another host told, so many seconds ago.
 
         Return whether both together know enough for a verdict that neither had.
@@ -255,67 +264,73 @@
         suspect = self._suspects.get(entry.fingerprint)
         at = now - age
         if suspect is None:
-            suspect = self._add(entry.fingerprint, entry.body_size, at - entry.idle_age)
-        before = len(suspect.targets)
+            suspect = self._add(
+                entry.fingerprint, entry.body_size, at - entry.idle_seconds
+            )
+        before = len(suspect.uncleared_targets)
         for target in entry.crashes:
-            suspect.note_crash(target)
-        suspect.acquit(entry.acquitted)
-        suspect.renewed_at = max(suspect.renewed_at, at - entry.idle_age)
+            suspect.record_crash(target)
+        suspect.clear(entry.cleared)
+        suspect.last_activity_at = max(
+            suspect.last_activity_at, at - entry.idle_seconds
+        )
         if entry.trial_seconds > age:
-            suspect.tried_until = max(suspect.tried_until, at + entry.trial_seconds)
-        self._sort(entry.fingerprint)
+            suspect.trial_until = max(suspect.trial_until, at + entry.trial_seconds)
+        self._update_refused(entry.fingerprint)
         # Only a new verdict: two hosts that keep different ones of many targets would
         # tell each other, and all others, for good.
-        told = len(entry.crashes) - len(entry.acquitted)
-        return _grade(len(suspect.targets)) > max(_grade(before), _grade(told))
+        told = len(entry.crashes) - len(entry.cleared)
+        return _compute_severity(len(suspect.uncleared_targets)) > max(
+            _compute_severity(before), _compute_severity(told)
+        )
 
-    def lift(self, fingerprint: bytes, now: float) -> bool:
+    def clear(self, fingerprint: bytes, now: float) -> bool:
         """Forget, at an operator's word, all crashes so far; return whether it did."""
-        return self.note_answered(fingerprint, now)
+        return self.record_answered(fingerprint, now)
 
     def expire(self, now: float) -> None:
         """Forget what was not seen for long."""
-        gone = [f for f, known in self._suspects.items() if known.expires_at <= now]
-        for fingerprint in gone:
-            self._drop(fingerprint)
+        expired = [f for f, known in self._suspects.items() if known.expires_at <= now]
+        for fingerprint in expired:
+            self._remove(fingerprint)
 
     def get(self, fingerprint: bytes) -> Suspect | None:
         """Return what is known of a request, None for nothing."""
         return self._suspects.get(fingerprint)
 
-    def iterate(self) -> Iterator[tuple[bytes, Suspect]]:
+    def items(self) -> Iterator[tuple[bytes, Suspect]]:
         """Give what is known, by fingerprint."""
         yield from self._suspects.items()
 
     def _add(self, fingerprint: bytes, body_size: int, now: float) -> Suspect:
         if len(self._suspects) >= c.MAX_SUSPECTS:
-            self._drop(min(self._suspects, key=self._rank))
+            self._remove(min(self._suspects, key=self._compute_retention_rank))
         suspect = self._suspects[fingerprint] = Suspect(body_size, now)
-        self._sizes[body_size] += 1
+        self._size_counts[body_size] += 1
         return suspect
 
-    def _sort(self, fingerprint: bytes) -> None:
-        if len(self._suspects[fingerprint].targets) >= c.CRASHES_UNTIL_REFUSED:
-            self._worst.add(fingerprint)
+    def _update_refused(self, fingerprint: bytes) -> None:
+        if len(self._suspects[fingerprint].uncleared_targets) >= c.REFUSE_AFTER_CRASHES:
+            self._refused.add(fingerprint)
         else:
-            self._worst.discard(fingerprint)
+            self._refused.discard(fingerprint)
 
-    def _rank(self, fingerprint: bytes) -> tuple[int, float]:
+    def _compute_retention_rank(self, fingerprint: bytes) -> tuple[int, float]:
         suspect = self._suspects[fingerprint]
-        return len(suspect.targets), suspect.renewed_at
+        return len(suspect.uncleared_targets), suspect.last_activity_at
 
-    def _drop(self, fingerprint: bytes) -> None:
-        self._worst.discard(fingerprint)
+    def _remove(self, fingerprint: bytes) -> None:
+        self._refused.discard(fingerprint)
         size = self._suspects.pop(fingerprint).body_size
-        self._sizes[size] -= 1
-        if not self._sizes[size]:
-            del self._sizes[size]
+        self._size_counts[size] -= 1
+        if not self._size_counts[size]:
+            del self._size_counts[size]
 
 
 def _pack_seconds(seconds: float) -> int:
     return int(max(0.0, seconds) * MILLISECONDS)
 
 
-def _grade(targets: int) -> int:
+def _compute_severity(targets: int) -> int:
     """Return 1 where a request is tried alone, 2 where it is refused, else 0."""
-    return (targets >= c.CRASHES_UNTIL_ALONE) + (targets >= c.CRASHES_UNTIL_REFUSED)
+    return (targets >= c.RUN_ALONE_AFTER_CRASHES) + (targets >= c.REFUSE_AFTER_CRASHES)
--- a/libraries/requests/tests/test_suspects.py
+++ b/libraries/requests/tests/test_suspects.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from tarragonward_requests import SuspectEntry, SuspectLedger, Verdict
+from tarragonward_requests import SuspectEntry, SuspectTracker, Verdict
 from tarragonward_requests import const as c
 
 ONE, OTHER = b"1" * 8, b"2" * 8
 
 
-def make_ledger(*crashes, fingerprint=ONE, now=0.0):
-    ledger = SuspectLedger()
+def make_tracker(*crashes, fingerprint=ONE, now=0.0):
+    tracker = SuspectTracker()
     for target in crashes:
-        ledger.note_crash(fingerprint, 10, target, now)
-    return ledger
+        tracker.record_crash(fingerprint, 10, target, now)
+    return tracker
 
 
 @pytest.mark.parametrize(
@@ -28,68 +28,68 @@
     ],
 )
 def test_distinct_targets_count(crashes, verdict):
-    assert make_ledger(*crashes).judge(ONE, 1.0) is verdict
+    assert make_tracker(*crashes).evaluate(ONE, 1.0) is verdict
 
 
 def test_an_isolated_host_lets_a_request_rest_after_one_crash():
     """Hosts that hear nobody each counted to three, together beyond what is allowed."""
-    ledger = make_ledger(1, now=5.0)
-    ends = 5.0 + c.ISOLATED_REST_SECONDS
-    assert ledger.judge(ONE, 5.1, is_isolated=True) is Verdict.LATER
-    assert ledger.get_wait_seconds(ONE, 5.5, is_isolated=True) == ends - 5.5
-    assert ledger.judge(ONE, ends, is_isolated=True) is Verdict.CLEAR
-    assert ledger.judge(ONE, 5.1) is Verdict.CLEAR
-    assert ledger.judge(OTHER, 5.1, is_isolated=True) is Verdict.CLEAR
+    tracker = make_tracker(1, now=5.0)
+    ends = 5.0 + c.ISOLATED_RETRY_DELAY_SECONDS
+    assert tracker.evaluate(ONE, 5.1, is_isolated=True) is Verdict.LATER
+    assert tracker.get_wait_seconds(ONE, 5.5, is_isolated=True) == ends - 5.5
+    assert tracker.evaluate(ONE, ends, is_isolated=True) is Verdict.CLEAR
+    assert tracker.evaluate(ONE, 5.1) is Verdict.CLEAR
+    assert tracker.evaluate(OTHER, 5.1, is_isolated=True) is Verdict.CLEAR
 
 
 def test_an_isolated_host_takes_its_peers_word_of_a_crash_for_no_reason_to_wait():
     """What peers told before they fell silent is as old as their silence."""
-    ledger = make_ledger()
-    assert not ledger.take(make_ledger(1).build_entry(ONE, 0.0), 0.0)
-    assert ledger.judge(ONE, 0.1, is_isolated=True) is Verdict.CLEAR
+    tracker = make_tracker()
+    assert not tracker.merge(make_tracker(1).build_entry(ONE, 0.0), 0.0)
+    assert tracker.evaluate(ONE, 0.1, is_isolated=True) is Verdict.CLEAR
 
 
 def test_a_whole_answer_acquits():
     """A request that was beside crashes three times must not be refused for good."""
-    ledger = make_ledger(1, 2, 3)
-    assert ledger.note_answered(ONE, 1.0)
-    assert ledger.judge(ONE, 1.0) is Verdict.CLEAR
+    tracker = make_tracker(1, 2, 3)
+    assert tracker.record_answered(ONE, 1.0)
+    assert tracker.evaluate(ONE, 1.0) is Verdict.CLEAR
     for target in (4, 5, 6):
-        ledger.note_crash(ONE, 10, target, 2.0)
-    assert ledger.judge(ONE, 2.0) is Verdict.REFUSED
+        tracker.record_crash(ONE, 10, target, 2.0)
+    assert tracker.evaluate(ONE, 2.0) is Verdict.REFUSED
 
 
 def test_victims_of_another_request_are_no_suspects():
     """A request that was twice beside the one that crashes targets is sent as usual."""
-    ledger = make_ledger(1, 2, 3)
+    tracker = make_tracker(1, 2, 3)
     for target in (2, 3):
-        ledger.note_crash(OTHER, 10, target, 0.0)
-    assert ledger.judge(OTHER, 1.0) is Verdict.CLEAR
-    assert ledger.judge(ONE, 1.0) is Verdict.REFUSED
+        tracker.record_crash(OTHER, 10, target, 0.0)
+    assert tracker.evaluate(OTHER, 1.0) is Verdict.CLEAR
+    assert tracker.evaluate(ONE, 1.0) is Verdict.REFUSED
 
 
 def test_two_that_ended_the_same_targets_do_not_excuse_each_other():
     """Were both excused, the one that crashes targets would be sent on and on."""
-    ledger = make_ledger(1, 2, 3)
+    tracker = make_tracker(1, 2, 3)
     for target in (1, 2, 3):
-        ledger.note_crash(OTHER, 10, target, 0.0)
-    assert ledger.judge(ONE, 1.0) is ledger.judge(OTHER, 1.0) is Verdict.REFUSED
+        tracker.record_crash(OTHER, 10, target, 0.0)
+    assert tracker.evaluate(ONE, 1.0) is tracker.evaluate(OTHER, 1.0) is Verdict.REFUSED
 
 
 def test_one_trial_at_a_time():
     """Hosts that all try a suspect at once would end as many targets."""
-    ledger = make_ledger(1, 2)
-    ledger.begin_trial(ONE, 1.0)
-    peer = SuspectLedger()
-    peer.take(ledger.build_entry(ONE, 1.1), 1.1)
-    assert peer.judge(ONE, 1.2) is Verdict.LATER
-    assert 0 < peer.get_wait_seconds(ONE, 1.2) <= c.TRIAL_SECONDS
-    assert peer.judge(ONE, 1.1 + c.TRIAL_SECONDS) is Verdict.ALONE
+    tracker = make_tracker(1, 2)
+    tracker.begin_trial(ONE, 1.0)
+    peer = SuspectTracker()
+    peer.merge(tracker.build_entry(ONE, 1.1), 1.1)
+    assert peer.evaluate(ONE, 1.2) is Verdict.LATER
+    assert 0 < peer.get_wait_seconds(ONE, 1.2) <= c.SUSPECT_TRIAL_SECONDS
+    assert peer.evaluate(ONE, 1.1 + c.SUSPECT_TRIAL_SECONDS) is Verdict.ALONE
 
 
 def test_an_entry_travels_whole():
-    ledger = make_ledger(1, 2)
-    entry = ledger.build_entry(ONE, 0.5)
+    tracker = make_tracker(1, 2)
+    entry = tracker.build_entry(ONE, 0.5)
     assert SuspectEntry.unpack(entry.pack()) == entry
 
 
@@ -99,7 +99,7 @@
         (b"short", 1, [], [], 0, 0),
         (ONE, -1, [], [], 0, 0),
         (ONE, 1, ["2"], [], 0, 0),
-        (ONE, 1, list(range(c.MAX_SUSPECT_TARGETS + 1)), [], 0, 0),
+        (ONE, 1, list(range(c.MAX_CRASHES_PER_SUSPECT + 1)), [], 0, 0),
         (ONE, 1, [2], [3], 0, 0),
         (ONE, True, [], [], 0, 0),
     ],
@@ -112,69 +112,71 @@
 def test_hosts_agree_in_whatever_order_they_hear():
     """Words that are lost, doubled or late must not leave hosts with other verdicts."""
     rng = random.Random(1)
-    entries = [make_ledger(target).build_entry(ONE, 0.0) for target in range(4)]
-    acquitted = make_ledger(8, 9, now=-2.0)
-    acquitted.note_answered(ONE, -1.0)
-    entries.append(acquitted.build_entry(ONE, 0.0))
+    entries = [make_tracker(target).build_entry(ONE, 0.0) for target in range(4)]
+    cleared = make_tracker(8, 9, now=-2.0)
+    cleared.record_answered(ONE, -1.0)
+    entries.append(cleared.build_entry(ONE, 0.0))
     counts = set()
     for _ in range(20):
-        ledger = SuspectLedger()
+        tracker = SuspectTracker()
         for entry in rng.sample(entries * 2, len(entries) * 2):
-            ledger.take(entry, 0.0)
-        counts.add(ledger.count(ONE))
+            tracker.merge(entry, 0.0)
+        counts.add(tracker.count(ONE))
     assert counts == {4}
 
 
 def test_an_acquittal_clears_no_later_crash_however_often_it_is_told():
     """Times that are told to and fro drift: what was lifted would stay lifted."""
-    ledger, peer = make_ledger(1, 2, 3), SuspectLedger()
-    ledger.lift(ONE, 1.0)
+    tracker, peer = make_tracker(1, 2, 3), SuspectTracker()
+    tracker.clear(ONE, 1.0)
     for target in (4, 5, 6):
-        ledger.note_crash(ONE, 10, target, 2.0)
+        tracker.record_crash(ONE, 10, target, 2.0)
     for step in range(1_000):
         now = 2.0 + step
-        peer.take(ledger.build_entry(ONE, now), now + 0.005)
-        ledger.take(peer.build_entry(ONE, now + 0.1), now + 0.105)
-    assert ledger.judge(ONE, 2.0) is peer.judge(ONE, 2.0) is Verdict.REFUSED
+        peer.merge(tracker.build_entry(ONE, now), now + 0.005)
+        tracker.merge(peer.build_entry(ONE, now + 0.1), now + 0.105)
+    assert tracker.evaluate(ONE, 2.0) is peer.evaluate(ONE, 2.0) is Verdict.REFUSED
 
 
 def test_hosts_that_know_a_crash_each_know_both_together():
-    ledger = make_ledger(1)
-    assert not ledger.take(make_ledger(1).build_entry(ONE, 0.0), 0.0)
-    assert ledger.take(make_ledger(2).build_entry(ONE, 0.0), 0.0)
-    assert ledger.judge(ONE, 0.0) is Verdict.ALONE
+    tracker = make_tracker(1)
+    assert not tracker.merge(make_tracker(1).build_entry(ONE, 0.0), 0.0)
+    assert tracker.merge(make_tracker(2).build_entry(ONE, 0.0), 0.0)
+    assert tracker.evaluate(ONE, 0.0) is Verdict.ALONE
 
 
 def test_hosts_that_keep_other_targets_of_many_do_not_tell_for_good():
     """Each word would be news to the other, and go to all hosts: a storm."""
-    many = c.MAX_SUSPECT_TARGETS
-    one, other = make_ledger(*range(many)), make_ledger(*range(many, many + 5))
+    many = c.MAX_CRASHES_PER_SUSPECT
+    one, other = make_tracker(*range(many)), make_tracker(*range(many, many + 5))
     for _ in range(5):
-        assert not one.take(other.build_entry(ONE, 0.0), 0.0)
-        assert not other.take(one.build_entry(ONE, 0.0), 0.0)
-    assert one.judge(ONE, 0.0) is other.judge(ONE, 0.0) is Verdict.REFUSED
+        assert not one.merge(other.build_entry(ONE, 0.0), 0.0)
+        assert not other.merge(one.build_entry(ONE, 0.0), 0.0)
+    assert one.evaluate(ONE, 0.0) is other.evaluate(ONE, 0.0) is Verdict.REFUSED
 
 
 def test_memory_is_bounded_and_keeps_the_worst():
     """A flood of new identities must not make hosts forget what is refused."""
-    ledger = make_ledger(1, 2, 3)
+    tracker = make_tracker(1, 2, 3)
     for number in range(2 * c.MAX_SUSPECTS):
-        ledger.note_crash(number.to_bytes(8, "big"), number, number + 9, 1.0 + number)
-    assert len(ledger) == c.MAX_SUSPECTS
-    assert ledger.judge(ONE, 2.0) is Verdict.REFUSED
+        tracker.record_crash(
+            number.to_bytes(8, "big"), number, number + 9, 1.0 + number
+        )
+    assert len(tracker) == c.MAX_SUSPECTS
+    assert tracker.evaluate(ONE, 2.0) is Verdict.REFUSED
 
 
 def test_what_is_asked_still_is_refused_still_and_forgotten_after():
-    ledger = make_ledger(1, 2, 3)
-    ledger.note_refused(ONE, 3_000.0)
-    ledger.expire(c.REFUSED_MEMORY_SECONDS + 1.0)
-    assert ledger.judge(ONE, c.REFUSED_MEMORY_SECONDS + 1.0) is Verdict.REFUSED
-    ledger.expire(3_000.0 + c.REFUSED_MEMORY_SECONDS)
-    assert ledger.judge(ONE, 0.0) is Verdict.CLEAR
-    assert not ledger.may_know(10)
+    tracker = make_tracker(1, 2, 3)
+    tracker.record_refused(ONE, 3_000.0)
+    tracker.expire(c.REFUSED_RETENTION_SECONDS + 1.0)
+    assert tracker.evaluate(ONE, c.REFUSED_RETENTION_SECONDS + 1.0) is Verdict.REFUSED
+    tracker.expire(3_000.0 + c.REFUSED_RETENTION_SECONDS)
+    assert tracker.evaluate(ONE, 0.0) is Verdict.CLEAR
+    assert not tracker.may_contain(10)
 
 
 def test_requests_of_other_sizes_need_no_hash():
-    ledger = make_ledger(1)
-    assert ledger.may_know(10)
-    assert not ledger.may_know(11)
+    tracker = make_tracker(1)
+    assert tracker.may_contain(10)
+    assert not tracker.may_contain(11)
