--- a/libraries/bench/tarragonward_bench/hearing/runs.py
+++ b/libraries/bench/tarragonward_bench/hearing/runs.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from tarragonward_gateway.ports import Record
-from tarragonward_placement.const import MAX_WHOLE_HOSTS
+from tarragonward_placement.const import MAX_SINGLE_CELL_HOSTS
 
 from .host import Fleet, Host, build_address
 from .transfers import TARGET_BYTES, RecordSizes, Transfers
@@ -360,7 +360,9 @@
             self._check_confirmed(host, log, now)
             age = now - host.confirmed_at
             self._ages.append(age)
-            is_sure = age <= CONFIRMED_SECONDS or self._plan.hosts <= MAX_WHOLE_HOSTS
+            is_sure = (
+                age <= CONFIRMED_SECONDS or self._plan.hosts <= MAX_SINGLE_CELL_HOSTS
+            )
             assert is_sure, f"{self._name(host)}: confirmed {age} ago at {now}"
             missed = self._find_missed(host, log, now - self._plan.held_seconds)
             assert missed is None, f"{self._name(host)}: lacks {missed} at {now}"
--- a/libraries/bench/tests/test_experiment.py
+++ b/libraries/bench/tests/test_experiment.py
@@ -126,10 +126,10 @@
 
 
 def test_numbers_hold_while_a_policy_plays_and_unknown_ones_are_refused():
-    before = const.READER_COUNTS
-    with use_numbers({"READER_COUNTS": (1,)}):
-        assert const.READER_COUNTS == (1,)
-    assert const.READER_COUNTS == before
+    before = const.PREFILL_ENGINE_COUNTS
+    with use_numbers({"PREFILL_ENGINE_COUNTS": (1,)}):
+        assert const.PREFILL_ENGINE_COUNTS == (1,)
+    assert const.PREFILL_ENGINE_COUNTS == before
     with pytest.raises(KeyError), use_numbers({"NO_SUCH": 1}):
         pass
 
--- a/libraries/gateway/tarragonward_gateway/readers.py
+++ b/libraries/gateway/tarragonward_gateway/readers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from tarragonward_placement import Located, divide_hosts
-from tarragonward_placement.const import MAX_WHOLE_HOSTS
+from tarragonward_placement.const import MAX_SINGLE_CELL_HOSTS
 
 from . import const as c
 
@@ -46,7 +46,7 @@
     """
     known = {host.located.name: host for host in others}
     known[own.name] = KnownHost(own)
-    if len(known) <= MAX_WHOLE_HOSTS:
+    if len(known) <= MAX_SINGLE_CELL_HOSTS:
         return Place(len(known), sum(name < own.name for name in known))
     parts = divide_hosts(host.located for host in known.values())
     number = next(n for n, part in enumerate(parts) if own.name in part)
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -58,9 +58,9 @@
 def test_a_long_reading_is_told_at_once_to_hosts_of_other_cells(told):
     """Until they hear of it they place long prompts on the same engines."""
     chooser, _, messages = told
-    begin(chooser, placement_const.TOLD_PART_SECONDS)
+    begin(chooser, placement_const.IMMEDIATE_NOTICE_SECONDS)
     assert not messages
-    begin(chooser, placement_const.HOLDING_SECONDS)
+    begin(chooser, placement_const.BLOCKING_PREFILL_SECONDS)
     assert messages == [(PROMPTS_SECTION, [FAR])]
 
 
@@ -102,7 +102,7 @@
     seconds = 10
     for _ in range(seconds * 100):
         clock[0] += 0.01
-        begin(chooser, placement_const.HOLDING_SECONDS)
+        begin(chooser, placement_const.BLOCKING_PREFILL_SECONDS)
     sent = sum(SIZE * len(addresses) for _, addresses in messages)
     assert rate * seconds / 2 < sent <= rate * (seconds + 1) + SIZE
 
@@ -113,5 +113,5 @@
     assert gossip._list_far() == [FAR]
     monkeypatch.setattr(cell_gossip.c, "MAX_CROSS_CELL_ENGINES", -1)
     assert gossip._list_far() == []
-    begin(chooser, placement_const.HOLDING_SECONDS)
+    begin(chooser, placement_const.BLOCKING_PREFILL_SECONDS)
     assert not messages
--- a/libraries/gateway/tests/test_readers.py
+++ b/libraries/gateway/tests/test_readers.py
@@ -18,7 +18,7 @@
 )
 from tarragonward_gateway.readers import KnownHost, Place, choose_place
 from tarragonward_placement import Located
-from tarragonward_placement.const import MAX_WHOLE_HOSTS
+from tarragonward_placement.const import MAX_SINGLE_CELL_HOSTS
 
 DOMAINS = ("a", "b", "c")
 FED = Place(18, 1, fed_rank=0, group=frozenset({"x"}))
@@ -46,8 +46,8 @@
 
 
 def test_all_hosts_of_a_small_fleet_ask():
-    places = choose_all(build_hosts(MAX_WHOLE_HOSTS)).values()
-    assert {place.rank for place in places} == set(range(MAX_WHOLE_HOSTS))
+    places = choose_all(build_hosts(MAX_SINGLE_CELL_HOSTS)).values()
+    assert {place.rank for place in places} == set(range(MAX_SINGLE_CELL_HOSTS))
     assert all(place.fed_rank is None for place in places)
 
 
--- a/libraries/placement/tarragonward_placement/affinity.py
+++ b/libraries/placement/tarragonward_placement/affinity.py
@@ -78,7 +78,7 @@
         for index, block_hash in event.added:
             if _is_kept_depth(index + 1):
                 known.hashes[block_hash] = None
-        while len(known.hashes) > c.MAX_KNOWN_BLOCKS:
+        while len(known.hashes) > c.MAX_INDEXED_BLOCKS:
             del known.hashes[next(iter(known.hashes))]
 
 
--- a/libraries/placement/tarragonward_placement/cells.py
+++ b/libraries/placement/tarragonward_placement/cells.py
@@ -45,7 +45,7 @@
     members = {host.name: host for host in hosts}
     members[own.name] = own
     known = list(engines)
-    if len(members) <= c.MAX_WHOLE_HOSTS:
+    if len(members) <= c.MAX_SINGLE_CELL_HOSTS:
         return Cell(frozenset(members), frozenset(e.name for e in known), True)
     domains = sorted({host.failure_domain for host in members.values()})
     near_hosts = _order(
@@ -110,6 +110,6 @@
     return sorted(names, key=_hash)
 
 
-@lru_cache(c.MAX_HASHED_NAMES)
+@lru_cache(c.HASH_CACHE_SIZE)
 def _hash(name: str) -> bytes:
     return hashlib.blake2b(name.encode(), digest_size=8).digest()
--- a/libraries/placement/tarragonward_placement/fleet.py
+++ b/libraries/placement/tarragonward_placement/fleet.py
@@ -37,7 +37,9 @@
         if self.first_event_at is not None:
             return 0.0
         left = self.reads_until[engine] - now
-        return min(max(left, c.OVERDUE_SHARE * self.part_seconds), self.part_seconds)
+        return min(
+            max(left, c.MIN_OVERDUE_SHARE * self.part_seconds), self.part_seconds
+        )
 
 
 @dataclass(frozen=True)
@@ -106,7 +108,9 @@
     """The paces of an engine's last passes that this host saw."""
 
     seen_at: float = 0.0
-    values: deque[float] = field(default_factory=lambda: deque(maxlen=c.PACE_VALUES))
+    values: deque[float] = field(
+        default_factory=lambda: deque(maxlen=c.SLOWDOWN_SAMPLES)
+    )
 
     def estimate(self) -> float:
         """Return the engine's pace, one where it is not surely slow.
@@ -114,10 +118,10 @@
         What an engine reads makes a pass longer, so the shortest ones tell its pace;
         events that were held up on the way come together, so the very shortest not.
         """
-        if len(self.values) < c.PACE_MIN_VALUES:
+        if len(self.values) < c.MIN_SLOWDOWN_SAMPLES:
             return 1.0
         pace = sorted(self.values)[1]
-        return pace if pace >= c.SLOW_PACE else 1.0
+        return pace if pace >= c.MIN_SLOWDOWN else 1.0
 
 
 @dataclass(frozen=True)
@@ -155,10 +159,10 @@
         """Count a prompt on all its engines until it ends."""
         for engine in {*work.reads_until, *work.held_tokens}:
             self._own.setdefault(engine, {})[work] = None
-        if self.tells_each or work.part_seconds >= c.TOLD_PART_SECONDS:
+        if self.tells_each or work.part_seconds >= c.IMMEDIATE_NOTICE_SECONDS:
             for tell in self.on_change:
-                tell(work.part_seconds >= c.HOLDING_SECONDS)
-        if work.part_seconds >= c.HOLDING_SECONDS:
+                tell(work.part_seconds >= c.BLOCKING_PREFILL_SECONDS)
+        if work.part_seconds >= c.BLOCKING_PREFILL_SECONDS:
             self._tell_reading(work.reads_until)
 
     def _tell_reading(self, engines: Collection[str]) -> None:
@@ -177,7 +181,7 @@
     def has_long_reading(self, now: float) -> bool:
         """Return whether a prompt of this host is read for long yet."""
         return any(
-            work.compute_reading_left(engine, now) >= c.HOLDING_SECONDS
+            work.compute_reading_left(engine, now) >= c.BLOCKING_PREFILL_SECONDS
             for engine, works in self._own.items()
             for work in works
             if engine in work.reads_until
@@ -196,12 +200,13 @@
 
     def note_full(self, engine: str, now: float) -> None:
         """Take it that an engine has no free memory for a while."""
-        self._full[engine] = now + c.FULL_SECONDS
+        self._full[engine] = now + c.FULL_ENGINE_SECONDS
 
     def hears_peers(self, now: float) -> bool:
         """Return whether any peer's digest is fresh."""
         return any(
-            now - hint.made_at <= c.MAX_HINT_SECONDS for hint in self._hints.values()
+            now - hint.made_at <= c.MAX_HINT_AGE_SECONDS
+            for hint in self._hints.values()
         )
 
     def get_all(self, now: float) -> dict[str, EngineWork]:
@@ -218,7 +223,7 @@
             self._add_own(engine, known.setdefault(engine, EngineWork()), now)
         for host, hint in list(self._hints.items()):
             age = now - hint.made_at
-            if age > c.MAX_HINT_SECONDS:
+            if age > c.MAX_HINT_AGE_SECONDS:
                 del self._hints[host]
                 continue
             for engine, entry in hint.engines.items():
@@ -229,7 +234,7 @@
             if now > until:
                 del self._full[engine]
                 continue
-            known.setdefault(engine, EngineWork()).held_tokens += c.FULL_TOKENS
+            known.setdefault(engine, EngineWork()).held_tokens += c.FULL_ENGINE_TOKENS
         self._forget_counts(now)
         if not self._hints:
             self._add_counts(known, now)
@@ -282,7 +287,7 @@
     def _add_summaries(self, known: dict[str, EngineWork], now: float) -> None:
         for engine, summary in list(self._summaries.items()):
             age = now - summary.made_at
-            if age > c.MAX_HINT_SECONDS:
+            if age > c.MAX_HINT_AGE_SECONDS:
                 del self._summaries[engine]
                 continue
             told = EngineWork(pace=summary.work.pace)
@@ -302,7 +307,7 @@
 
     def _forget_counts(self, now: float) -> None:
         """Drop counts that are worth nothing: engines come and go for good."""
-        oldest = now - c.MAX_COUNT_SECONDS
+        oldest = now - c.MAX_COUNT_AGE_SECONDS
         for engine, count in list(self._counts.items()):
             if count.seen_at < oldest:
                 del self._counts[engine]
@@ -310,7 +315,7 @@
     def _add_counts(self, known: dict[str, EngineWork], now: float) -> None:
         for engine, count in self._counts.items():
             age = now - count.seen_at
-            left = round(count.others * (1 - age / c.MAX_COUNT_SECONDS))
+            left = round(count.others * (1 - age / c.MAX_COUNT_AGE_SECONDS))
             if left:
                 known.setdefault(engine, EngineWork()).writers += left
 
@@ -319,7 +324,7 @@
         slow = {}
         for engine, paces in list(self._paces.items()):
             # A slow engine is hardly used, so it is tried again when this is old.
-            if now - paces.seen_at > c.MAX_PACE_SECONDS:
+            if now - paces.seen_at > c.MAX_SLOWDOWN_AGE_SECONDS:
                 del self._paces[engine]
             elif (pace := paces.estimate()) > 1:
                 slow[engine] = pace
@@ -350,7 +355,7 @@
         name
         for name, work in engines.items()
         if work.reading_seconds - known.get(name, NO_WORK).reading_seconds
-        >= c.HOLDING_SECONDS
+        >= c.BLOCKING_PREFILL_SECONDS
     ]
 
 
@@ -372,8 +377,8 @@
     may be slow itself, or its link.
     """
     for engine, paces in told.items():
-        if len(paces) >= c.MIN_PACE_TELLERS:
-            pace = sorted(paces, reverse=True)[c.MIN_PACE_TELLERS - 1]
+        if len(paces) >= c.MIN_SLOWDOWN_REPORTERS:
+            pace = sorted(paces, reverse=True)[c.MIN_SLOWDOWN_REPORTERS - 1]
             known[engine].pace = max(known[engine].pace, pace)
 
 
@@ -434,7 +439,7 @@
             )
             for ends, aim, weight in unread
         ],
-        min(max(pace, 1.0), c.MAX_PACE),
+        min(max(pace, 1.0), c.MAX_SLOWDOWN),
     )
 
 
--- a/libraries/placement/tarragonward_placement/groups.py
+++ b/libraries/placement/tarragonward_placement/groups.py
@@ -165,6 +165,6 @@
     # The engine that did not say may hold the part all the same, so it is
     # released too: releasing what is not held changes nothing.
     effects = reservation.release()
-    delay = c.GROUP_FIRST_DELAY_SECONDS * 2 ** min(reservation._tries, 16)
-    effects.append(RetryGroup(min(delay, c.GROUP_MAX_DELAY_SECONDS)))
+    delay = c.GROUP_RETRY_BASE_SECONDS * 2 ** min(reservation._tries, 16)
+    effects.append(RetryGroup(min(delay, c.GROUP_RETRY_MAX_SECONDS)))
     return effects
--- a/libraries/placement/tarragonward_placement/lanes.py
+++ b/libraries/placement/tarragonward_placement/lanes.py
@@ -21,7 +21,7 @@
 
 def get_treatment(prompt_tokens: int) -> tuple[int, int, int]:
     """Return the length class, engine priority and chunk tokens of a prompt."""
-    for index, (limit, priority, chunk) in enumerate(c.LENGTH_TREATMENTS):
+    for index, (limit, priority, chunk) in enumerate(c.LENGTH_CLASSES):
         if prompt_tokens <= limit:
             return index, priority, chunk
     raise ValueError(f"no treatment for {prompt_tokens} tokens")
@@ -58,11 +58,11 @@
 
 
 class ShortBudget:
-    """What this host may give of shorter prompts to engines that read long ones.
+    """Limit the short prompts that this host sends to engines with long prefills.
 
-    Without it any load of short prompts goes before a long one's on its engine, and
-    the long one never ends. Each host keeps to its part of LANE_SHORT_SHARE of the
-    engine's rate, so over all hosts a long prompt keeps the rest.
+    Short prompts have priority on an engine, so an unlimited load of them would starve
+    the long prompt. Each host may use its part of SHORT_PROMPT_RATE_SHARE of the
+    engine's prefill rate; over all hosts the long prompt keeps the rest.
     """
 
     def __init__(self) -> None:
@@ -70,8 +70,8 @@
 
     def can_take(self, view: EngineView, live_hosts: int, now: float) -> bool:
         """Return whether a shorter prompt may go to this engine of the lane."""
-        rate = view.prefill_tokens_per_second * c.LANE_SHORT_SHARE / live_hosts
-        most = rate * c.LANE_BURST_SECONDS
+        rate = view.prefill_tokens_per_second * c.SHORT_PROMPT_RATE_SHARE / live_hosts
+        most = rate * c.SHORT_PROMPT_BURST_SECONDS
         bucket = self._buckets.setdefault(view.name, _Bucket(most, now))
         bucket.level = min(most, bucket.level + rate * (now - bucket.filled_at))
         bucket.filled_at = now
--- a/libraries/placement/tarragonward_placement/limits.py
+++ b/libraries/placement/tarragonward_placement/limits.py
@@ -40,13 +40,13 @@
     filled_at: float = 0.0
 
     def get_demand(self, now: float) -> float:
-        """Return the offered tokens per second, over about DEMAND_SECONDS."""
+        """Return the offered tokens per second, over about DEMAND_WINDOW_SECONDS."""
         elapsed = max(now - self.observed_at, 0.0)
-        return self.demand * math.exp(-elapsed / c.DEMAND_SECONDS)
+        return self.demand * math.exp(-elapsed / c.DEMAND_WINDOW_SECONDS)
 
     def observe(self, tokens: int, now: float) -> None:
         """Take in that tokens were offered."""
-        self.demand = self.get_demand(now) + tokens / c.DEMAND_SECONDS
+        self.demand = self.get_demand(now) + tokens / c.DEMAND_WINDOW_SECONDS
         self.observed_at = now
 
 
--- a/libraries/placement/tarragonward_placement/outlook.py
+++ b/libraries/placement/tarragonward_placement/outlook.py
@@ -75,7 +75,7 @@
             for name, work in works.items()
             if work.reading_seconds * MILLISECONDS <= strictest
         ),
-        places_an_engine=max(model.slots * c.LANE_FILL_SHARE, 1.0),
+        places_an_engine=max(model.slots * c.SLOT_FILL_SHARE, 1.0),
     )
 
 
--- a/libraries/placement/tarragonward_placement/placement.py
+++ b/libraries/placement/tarragonward_placement/placement.py
@@ -167,7 +167,7 @@
             for view in context.views
             if is_reading_long(view)
         )
-        return total - lent * (1 - c.LANE_SHORT_SHARE)
+        return total - lent * (1 - c.SHORT_PROMPT_RATE_SHARE)
 
     def _choose(self, context: _Context) -> _Choice | None:
         request = context.request
@@ -204,14 +204,14 @@
         of demand is that the engines before are taken. It is drawn among a few, as
         hosts that all take the first meet there on one old report.
         """
-        bearable = context.request.prompt_tokens * c.LANE_WAIT_SHARE
+        bearable = context.request.prompt_tokens * c.LONG_POOL_MAX_WAIT_SHARE
         priority, now = context.engine_priority, context.now
         free = (
             view
             for view in views
             if self._book.count_unread(view, priority, now) <= bearable
         )
-        first = list(itertools.islice(free, c.LANE_CANDIDATES))
+        first = list(itertools.islice(free, c.LONG_POOL_CANDIDATES))
         return self._random.choice(first) if first else None
 
     def _choose_group(self, context: _Context) -> _Choice | None:
@@ -237,7 +237,7 @@
         if request.is_long:
             largest = max(view.kv_tokens for view in views)
             # One more than its size needs: the engines are seldom all empty.
-            share = c.LANE_SHARES[context.length_class]
+            share = c.LONG_POOL_SHARES[context.length_class]
             return get_lane(views, share, -(-request.kv_tokens // largest) + 1)
         hosts = context.fleet.live_hosts
         return [
@@ -261,7 +261,7 @@
         clear = [view for view in views if not is_reading_long(view)]
         reading = [view for view in views if is_reading_long(view)]
         sampled = self._draw(clear, c.SAMPLED_CANDIDATES)
-        return sampled + self._draw(reading, c.SAMPLED_READING)
+        return sampled + self._draw(reading, c.SAMPLED_LONG_PREFILL)
 
     def _draw(self, views: list[EngineView], count: int) -> list[EngineView]:
         return self._random.sample(views, min(count, len(views)))
--- a/libraries/placement/tarragonward_placement/places.py
+++ b/libraries/placement/tarragonward_placement/places.py
@@ -41,7 +41,7 @@
     @property
     def weight(self) -> float:
         """Return how much being late counts, in that of the smallest prompt."""
-        return 1 + self.prompt_tokens / c.WEIGHT_TOKENS
+        return 1 + self.prompt_tokens / c.TOKENS_PER_WEIGHT
 
 
 @dataclass(frozen=True)
@@ -61,12 +61,12 @@
     def weigh(self, is_long: bool) -> float:
         """Return what the place counts against the engine, in the weight's unit."""
         if is_long:
-            return c.LANE_WEIGHT * self.before_end
-        return c.PACKING_WEIGHT * self.behind_lane
+            return c.LONG_PROMPT_POSITION_COST * self.before_end
+        return c.PACKING_COST * self.behind_lane
 
     def weigh_distance(self) -> float:
         """Return what it counts that the answer comes from another failure domain."""
-        return 0.0 if self.is_near else c.FAR_WEIGHT
+        return 0.0 if self.is_near else c.CROSS_DOMAIN_COST
 
 
 def place_engines(
@@ -113,5 +113,5 @@
     aim = int(need.pause_aim_seconds * MILLISECONDS)
     works = (known[name] for name in names if name in known)
     requests = sum(work.requests for work in works if aim in work.weights)
-    fill = max(model.slots * c.LANE_FILL_SHARE, 1.0)
+    fill = max(model.slots * c.SLOT_FILL_SHARE, 1.0)
     return math.ceil((requests + 1) / fill)
--- a/libraries/placement/tarragonward_placement/predictions.py
+++ b/libraries/placement/tarragonward_placement/predictions.py
@@ -107,7 +107,7 @@
         return view.free_kv_tokens - sum(work.parts[view.name] for work in unreported)
 
     def _iterate_unreported(self, view: EngineView, now: float) -> Iterator[InFlight]:
-        made_at = now - view.report_age_seconds - c.ASSUMED_REPORT_LAG_SECONDS
+        made_at = now - view.report_age_seconds - c.REPORT_LAG_ALLOWANCE_SECONDS
         for work in self.iterate_engine(view.name):
             if work.placed_at >= made_at:
                 yield work
@@ -121,7 +121,7 @@
     """
 
     def __init__(self) -> None:
-        self._ratios = [1.0] * len(c.LENGTH_TREATMENTS)
+        self._ratios = [1.0] * len(c.LENGTH_CLASSES)
 
     def get(self, length_class: int) -> float:
         """Return the factor for predictions of this class."""
@@ -134,7 +134,9 @@
         ratio *= self._ratios[work.length_class]
         ratio = min(max(ratio, c.MIN_CORRECTION), c.MAX_CORRECTION)
         known = self._ratios[work.length_class]
-        self._ratios[work.length_class] = known + c.CORRECTION_WEIGHT * (ratio - known)
+        self._ratios[work.length_class] = known + c.CORRECTION_SMOOTHING * (
+            ratio - known
+        )
 
 
 class TokenPace:
@@ -145,10 +147,10 @@
 
     def observe(self, seconds: float, tokens: int) -> None:
         """Learn from tokens that came in so many seconds."""
-        if tokens < c.MIN_PACE_TOKENS:
+        if tokens < c.MIN_INTERVAL_TOKENS:
             return
         change = seconds / tokens - self.seconds_per_token
-        self.seconds_per_token += c.PACE_WEIGHT * change
+        self.seconds_per_token += c.TOKEN_INTERVAL_SMOOTHING * change
 
 
 def predict_ttft(
@@ -165,5 +167,5 @@
     """
     tokens = waiting + max(request.prompt_tokens - cached, 1)
     if has_behind:
-        tokens += c.BEHIND_TOKENS
+        tokens += c.LOWER_PRIORITY_DELAY_TOKENS
     return tokens / view.prefill_tokens_per_second + view.seconds_per_token
--- a/libraries/placement/tarragonward_placement/readings.py
+++ b/libraries/placement/tarragonward_placement/readings.py
@@ -78,9 +78,11 @@
 
     A prediction is never exact, so what comes near the bound counts in part.
     """
-    share = seconds / max(bound, c.MIN_LEFT_SECONDS)
-    missed = (share - c.SAFE_SHARE) / (c.MISSED_SHARE - c.SAFE_SHARE)
-    far = c.OVERRUN_WEIGHT * min(share, c.MAX_OVERRUN)
+    share = seconds / max(bound, c.MIN_BOUND_SECONDS)
+    missed = (share - c.LATENESS_START_SHARE) / (
+        c.LATENESS_FULL_SHARE - c.LATENESS_START_SHARE
+    )
+    far = c.LATENESS_RATIO_WEIGHT * min(share, c.MAX_LATENESS_RATIO)
     return min(max(missed, 0.0), 1.0) + far
 
 
@@ -114,14 +116,16 @@
         return None
     alone = model.compute_read_seconds(need.prompt_tokens)
     best = None
-    needs_tickets = need.memory_tokens > model.memory_tokens * c.MEMORY_SHARE
-    for count in c.READER_COUNTS:
+    needs_tickets = need.memory_tokens > model.memory_tokens * c.USABLE_MEMORY_SHARE
+    for count in c.PREFILL_ENGINE_COUNTS:
         part = alone / count
-        if count > 1 and (alone < c.MIN_JOINT_SECONDS or part < c.MIN_PART_SECONDS):
+        if count > 1 and (
+            alone < c.MIN_PARALLEL_PREFILL_SECONDS or part < c.MIN_PREFILL_PART_SECONDS
+        ):
             break
         if count > len(chosen):
             break
-        is_long = alone >= c.MIN_JOINT_SECONDS
+        is_long = alone >= c.MIN_PARALLEL_PREFILL_SECONDS
         candidates = [
             _build_candidate(
                 place, known.get(place.name, NO_WORK), part, model, is_long
@@ -147,11 +151,11 @@
     places: list[EnginePlace], need: PromptNeed, random: Random
 ) -> list[EnginePlace]:
     """Return a bounded number of engines, the one that is to answer among them."""
-    if len(places) <= c.MAX_PLANNED_ENGINES:
+    if len(places) <= c.MAX_PLAN_CANDIDATES:
         return places
     settled = [each for each in places if each.name == need.leader]
     others = [each for each in places if each.name != need.leader]
-    return settled + random.sample(others, c.MAX_PLANNED_ENGINES - len(settled))
+    return settled + random.sample(others, c.MAX_PLAN_CANDIDATES - len(settled))
 
 
 def _build_candidate(
@@ -227,7 +231,7 @@
     readers = _choose_helpers(count - len(settled), others, need, model, random)
     readers = settled + readers
     roomy = sorted(readers, key=lambda each: (each.work.held_tokens, random.random()))
-    holders = roomy[: c.MAX_TICKETS + 1]
+    holders = roomy[: c.MAX_RESERVATIONS + 1]
     if settled and settled[0] not in holders:
         holders[-1] = settled[0]
     if len(readers) < count or not holders:
@@ -291,7 +295,7 @@
         lead_cost
         + sum(each.cost + each.order for each in readers[1:])
         + need.weight * compute_overrun(first, need.aim_seconds)
-        + c.READER_WEIGHT * len(readers)
+        + c.PREFILL_ENGINE_COST * len(readers)
     )
     return ReadingPlan(
         readers=tuple(each.name for each in readers),
@@ -312,7 +316,7 @@
 
 def _count_room(each: _Candidate, model: EngineModel) -> int:
     """Return the memory that a part may take, with some left beside it."""
-    return int(model.memory_tokens * c.TICKET_MEMORY_SHARE) - each.work.held_tokens
+    return int(model.memory_tokens * c.RESERVABLE_MEMORY_SHARE) - each.work.held_tokens
 
 
 def _compute_lead_cost(
@@ -328,7 +332,7 @@
     first = each.ends_seconds + max(over, 0) * c.SLOT_WAIT_SECONDS
     cost += need.weight * compute_overrun(first, need.aim_seconds)
     # Without memory the newest request loses its place and is read again.
-    room = model.memory_tokens * c.MEMORY_SHARE - work.held_tokens
+    room = model.memory_tokens * c.USABLE_MEMORY_SHARE - work.held_tokens
     if tokens > room:
         cost += need.weight + sum(work.weights.values())
     return cost
--- a/libraries/placement/tarragonward_placement/relocation.py
+++ b/libraries/placement/tarragonward_placement/relocation.py
@@ -21,4 +21,6 @@
     Read again on another engine, a short prompt goes on within a tenth of a second.
     What is nearly in time stays: a prediction is not exact, and a move costs a repeat.
     """
-    return waits > limit * c.MOVE_FROM_SHARE and elsewhere <= limit * c.MOVE_TO_SHARE
+    return (
+        waits > limit * c.MIGRATE_FROM_SHARE and elsewhere <= limit * c.MIGRATE_TO_SHARE
+    )
--- a/libraries/placement/tarragonward_placement/target_limits.py
+++ b/libraries/placement/tarragonward_placement/target_limits.py
@@ -154,7 +154,7 @@
 
     def keep_only(self, numbers: Collection[int], now: float) -> None:
         """Forget targets that are no more, and limits that ended long ago."""
-        long_ago = now - c.LIMIT_MEMORY_SECONDS
+        long_ago = now - c.LIMIT_RETENTION_SECONDS
         for number, limit in list(self._limits.items()):
             has_ended = limit.rate is None and limit.named_at < long_ago
             if has_ended or number not in numbers:
@@ -182,8 +182,8 @@
     The users of a target are the first by a hash of it and them. Hosts with other views
     choose other ones: what a host doesn't know counts as before it.
     """
-    users = int(c.LIMIT_USERS_A_RATE * rate) + c.LIMIT_LEAST_USERS
-    if rate < c.LIMIT_LEAST_RATE:
+    users = int(c.LIMIT_HOSTS_PER_RATE * rate) + c.LIMIT_MIN_HOSTS
+    if rate < c.LIMIT_MIN_RATE:
         return 0.0
     if users >= view.most:
         return c.LIMIT_SHARE * rate / view.most
--- a/libraries/placement/tarragonward_placement/widening.py
+++ b/libraries/placement/tarragonward_placement/widening.py
@@ -22,10 +22,10 @@
     cell, and the next one waits for them while those of other cells idle. Less is known
     of the engines of other cells, so a small gain is none.
     """
-    if near is not None and near.cost <= c.WIDEN_COST_SHARE * need.weight:
+    if near is not None and near.cost <= c.WIDEN_MIN_COST_SHARE * need.weight:
         return near
     wide = plan_fleet()
     if near is None or wide is None:
         return near or wide
-    is_better = near.cost - wide.cost > c.WIDEN_GAIN_SHARE * need.weight
+    is_better = near.cost - wide.cost > c.WIDEN_MIN_GAIN_SHARE * need.weight
     return wide if is_better else near
--- a/libraries/placement/tests/test_cells.py
+++ b/libraries/placement/tests/test_cells.py
@@ -21,7 +21,7 @@
 
 
 def test_a_small_fleet_is_one_cell():
-    hosts, engines = build_hosts(c.MAX_WHOLE_HOSTS), build_engines(24)
+    hosts, engines = build_hosts(c.MAX_SINGLE_CELL_HOSTS), build_engines(24)
     cell = choose_cell(hosts[0], hosts, engines)
     assert cell.is_whole
     assert len(cell.hosts) == len(hosts)
--- a/libraries/placement/tests/test_paces.py
+++ b/libraries/placement/tests/test_paces.py
@@ -47,7 +47,7 @@
     """An engine that is well again must not be told to be slow for good."""
     book = make_book(*SLOW)
     assert book.build_digest(1.0)
-    assert not book.build_digest(1.1 + c.MAX_PACE_SECONDS)
+    assert not book.build_digest(1.1 + c.MAX_SLOWDOWN_AGE_SECONDS)
     assert not make_book(*FAST).build_digest(1.0)
 
 
@@ -70,4 +70,4 @@
     entry = [0, 0, 0, 0, 0, 0, [], [], told]
     for peer in ("one", "other"):
         book.take_digest(peer, {"e1": entry}, 0.0, 1.0)
-    assert 1.0 <= book.get_all(1.0)["e1"].pace <= c.MAX_PACE
+    assert 1.0 <= book.get_all(1.0)["e1"].pace <= c.MAX_SLOWDOWN
--- a/libraries/placement/tests/test_readings.py
+++ b/libraries/placement/tests/test_readings.py
@@ -223,7 +223,7 @@
     engine slow; and it is tried again once nothing was seen of it for a while.
     """
     book = FleetBook()
-    for number in range(c.PACE_VALUES):
+    for number in range(c.SLOWDOWN_SAMPLES):
         book.note_pass("e00", 6.0, now=1.0)
         book.note_pass("e01", 6.0 if number % 2 else 1.1, now=1.0)
     known = book.get_all(1.0)
@@ -231,7 +231,7 @@
     assert "e01" not in known
     two = ENGINES[:2]
     assert plan(SHORT, known, two).leader == "e01"
-    assert book.get_all(1.1 + c.MAX_PACE_SECONDS) == {}
+    assert book.get_all(1.1 + c.MAX_SLOWDOWN_AGE_SECONDS) == {}
 
 
 def test_a_slow_reader_makes_a_joint_reading_longer() -> None:
@@ -248,7 +248,7 @@
     Only some engines are weighed there. Were the leader not always among them, no plan
     could be made, and the caller's request would end in an error of this host.
     """
-    many = [f"e{number:03}" for number in range(4 * c.MAX_PLANNED_ENGINES)]
+    many = [f"e{number:03}" for number in range(4 * c.MAX_PLAN_CANDIDATES)]
     for need in (SHORT, LONG, replace(LONG, prompt_tokens=900_000)):
         assert plan(replace(need, leader=many[-1]), engines=many).leader == many[-1]
     gone = replace(SHORT, leader="gone")
--- a/libraries/placement/tests/test_summaries.py
+++ b/libraries/placement/tests/test_summaries.py
@@ -67,8 +67,8 @@
     """Hosts of a cell that is cut off tell nothing: its engines count as unknown."""
     far = make_book()
     far.take_summary(tell(make_book("e1", seconds=9.0)), 0.0, 0.0)
-    assert "e1" in far.get_all(c.MAX_HINT_SECONDS)
-    assert "e1" not in far.get_all(c.MAX_HINT_SECONDS + 0.1)
+    assert "e1" in far.get_all(c.MAX_HINT_AGE_SECONDS)
+    assert "e1" not in far.get_all(c.MAX_HINT_AGE_SECONDS + 0.1)
 
 
 @pytest.mark.parametrize("data", [None, [1], {"e1": [1, 2]}, {"e1": "word"}])
