--- a/libraries/bench/tarragonward_bench/budget_runs.py
+++ b/libraries/bench/tarragonward_bench/budget_runs.py
@@ -13,7 +13,7 @@
     SeedEffect,
     SeedMembership,
 )
-from tarragonward_requests import BudgetBounds, SharedBudget
+from tarragonward_requests import RetryBudgetBounds, SharedRetryBudget
 
 __all__ = ["run_budget_seed"]
 
@@ -46,14 +46,16 @@
             random.Random(run.rng.random()),
             run.now,
         )
-        self.budget = SharedBudget(run.bounds, run.now)
+        self.budget = SharedRetryBudget(run.bounds, run.now)
 
 
 class _Run:
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = 1_000.0
-        self.bounds = BudgetBounds(0.2, self.rng.choice((20.0, 100.0, 250.0)), 10.0)
+        self.bounds = RetryBudgetBounds(
+            0.2, self.rng.choice((20.0, 100.0, 250.0)), 10.0
+        )
         self._count = self.rng.randint(2, 9)
         self._loss = self.rng.choice((0.0, 0.05, 0.3))
         self._hosts = {n: _Host(self, n) for n in range(self._count)}
@@ -115,8 +117,8 @@
                 self._requests.append(self.now)
         hosts = host.members.count_most_hosts(self.now)
         # Every repeat that a host may send is sent: the worst that callers can cause.
-        while host.budget.has_room(SERVICE, hosts, self.now, is_urgent=True):
-            host.budget.record_repeat(SERVICE, hosts, self.now)
+        while host.budget.can_retry(SERVICE, hosts, self.now, is_urgent=True):
+            host.budget.record_retry(SERVICE, hosts, self.now)
             self._repeats.append(self.now)
 
     def _check(self) -> None:
--- a/libraries/bench/tests/test_budget_runs.py
+++ b/libraries/bench/tests/test_budget_runs.py
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize(
     ("owner", "name", "fault", "seeds"),
     [
-        (requests_const, "BUDGET_YOUNG_PART", 0.75, SEEDS),
+        (requests_const, "BUDGET_FIRST_WINDOW_SLACK_SHARE", 0.75, SEEDS),
         (membership_const, "HOSTS_GUESSED_A_SEED", 1, (151, 155)),
         (SeedMembership, "count_most_hosts", count_only_who_is_there, SEEDS),
     ],
--- a/libraries/gateway/tarragonward_gateway/moving.py
+++ b/libraries/gateway/tarragonward_gateway/moving.py
@@ -79,7 +79,7 @@
         """Give the repeat back where the answer ended before the target was left."""
         if self.is_moving and self.repeat_at is not None:
             service = self._build_need().service
-            self._state.budget.return_repeat(service, self.repeat_at)
+            self._state.budget.refund_retry(service, self.repeat_at)
         self.is_moving = False
 
     def _may_move(self, need: TargetNeed) -> bool:
--- a/libraries/gateway/tarragonward_gateway/operators.py
+++ b/libraries/gateway/tarragonward_gateway/operators.py
@@ -133,7 +133,7 @@
     add(
         "repeats_left",
         "ordinary repeats that fit now, of the service with the least room",
-        lambda: state.budget.count_left(state.count_sharing_hosts(), read_clock()),
+        lambda: state.budget.count_remaining(state.count_sharing_hosts(), read_clock()),
     )
     add("draining", "1 while the host leaves", lambda: int(state.is_draining))
     add("log_lines_dropped", "not within the budget", lambda: event_log.dropped)
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -158,7 +158,7 @@
             or self._state.may_repeat(service, is_urgent=is_started)
         )
         effect = self._exchange.handle(event, now, has_budget=may_repeat)
-        if isinstance(effect, SendTo) and effect.is_repeat:
+        if isinstance(effect, SendTo) and effect.is_retry:
             self._repeat_at = (
                 self._mover.repeat_at
                 if self._mover.is_moving
@@ -249,7 +249,7 @@
     def _return_repeat(self) -> None:
         """Give the budget back what a repeat that was never sent took of it."""
         if self._repeat_at is not None:
-            self._state.budget.return_repeat(self._context.service, self._repeat_at)
+            self._state.budget.refund_retry(self._context.service, self._repeat_at)
             self._repeat_at = None
 
     def _note_head(self, target: RegisteredTarget, stream: HttpStream) -> None:
--- a/libraries/gateway/tarragonward_gateway/state.py
+++ b/libraries/gateway/tarragonward_gateway/state.py
@@ -9,7 +9,7 @@
 
 from tarragonward_core import Metrics
 from tarragonward_membership import TargetRegistry
-from tarragonward_requests import BudgetBounds, SharedBudget
+from tarragonward_requests import RetryBudgetBounds, SharedRetryBudget
 from tarragonward_routes import RoutingTable
 
 from .clock import read_clock
@@ -36,19 +36,19 @@
     is_draining: bool = False
     is_admitting: bool = True
     count_sharing_hosts: Callable[[], int] = lambda: 1
-    budget: SharedBudget = field(init=False)
+    budget: SharedRetryBudget = field(init=False)
 
     def __post_init__(self) -> None:
         """Take the bounds of repeats from the settings."""
-        self.budget = SharedBudget(self._get_budget_bounds(), read_clock())
+        self.budget = SharedRetryBudget(self._get_budget_bounds(), read_clock())
 
     def apply_bounds(self) -> None:
         """Take over the bounds of changed settings."""
         self.budget.bounds = self._get_budget_bounds()
 
-    def _get_budget_bounds(self) -> BudgetBounds:
+    def _get_budget_bounds(self) -> RetryBudgetBounds:
         bounds = self.settings.bounds
-        return BudgetBounds(
+        return RetryBudgetBounds(
             bounds.retry_share, bounds.retry_slack, bounds.retry_window_seconds
         )
 
@@ -66,7 +66,7 @@
     def may_repeat(self, service: str, is_urgent: bool) -> bool:
         """Return whether one more repeat is within this host's part of the budget."""
         hosts = self.count_sharing_hosts()
-        return self.budget.has_room(service, hosts, read_clock(), is_urgent)
+        return self.budget.can_retry(service, hosts, read_clock(), is_urgent)
 
     def record_repeat(self, service: str) -> float:
         """Count a repeat that was decided on; nothing may come in between.
@@ -74,7 +74,7 @@
         Return when that was, for a repeat that is never sent.
         """
         now = read_clock()
-        self.budget.record_repeat(service, self.count_sharing_hosts(), now)
+        self.budget.record_retry(service, self.count_sharing_hosts(), now)
         return now
 
     def put_in_force(self, table: RoutingTable) -> bool:
--- a/libraries/gateway/tests/test_moving.py
+++ b/libraries/gateway/tests/test_moving.py
@@ -9,7 +9,7 @@
 from tarragonward_gateway import const as c
 from tarragonward_gateway.clock import read_clock
 from tarragonward_placement import Evidence
-from tarragonward_requests import BudgetBounds, SharedBudget
+from tarragonward_requests import RetryBudgetBounds, SharedRetryBudget
 from tarragonward_standins import (
     CHUNKED,
     build_answer,
@@ -250,8 +250,8 @@
     site = await make_engines(
         script, script, pause_aim_seconds=0.4, timeout_seconds=4.0
     )
-    one_repeat = BudgetBounds(share=0.0, slack=2.0, window_seconds=10.0)
-    site.state.budget = SharedBudget(one_repeat, read_clock() - 20.0)
+    one_repeat = RetryBudgetBounds(share=0.0, slack=2.0, window_seconds=10.0)
+    site.state.budget = SharedRetryBudget(one_repeat, read_clock() - 20.0)
     answer = await site.async_ask_prompt("2000,500")
     assert [f"piece {n}".encode() in answer.body for n in range(1, 6)] == [True] * 5
     assert asked[1].get("last-event-id") == ["3"]
--- a/libraries/gateway/tests/test_overdue.py
+++ b/libraries/gateway/tests/test_overdue.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tarragonward_gateway import const as c
-from tarragonward_requests import BudgetBounds
+from tarragonward_requests import RetryBudgetBounds
 from tarragonward_standins import stream_events
 
 PROMPT = "5000,100"
@@ -51,7 +51,7 @@
 async def test_no_prompt_is_left_beyond_the_budget_of_repeats(make_pair):
     """A fleet that is slow as a whole must not read each prompt twice."""
     site, asked = await make_pair()
-    site.state.budget.bounds = BudgetBounds(0.0, 0.0, 10.0)
+    site.state.budget.bounds = RetryBudgetBounds(0.0, 0.0, 10.0)
     asking = asyncio.create_task(site.async_ask_prompt(PROMPT))
     await asyncio.sleep(c.OVERDUE_MARGIN_SECONDS + 0.4)
     assert len(asked) == 1
--- a/libraries/gateway/tests/test_sharing.py
+++ b/libraries/gateway/tests/test_sharing.py
@@ -79,6 +79,6 @@
     await site.targets[1].async_unload()
     set_bounds(site, retry_share=0.0, retry_slack=100.0)
     site.state.record_request("s")
-    before = site.state.budget.count_left(1, read_clock())
+    before = site.state.budget.count_remaining(1, read_clock())
     assert (await site.async_ask()).status == 200
-    assert site.state.budget.count_left(1, read_clock()) == before - 1
+    assert site.state.budget.count_remaining(1, read_clock()) == before - 1
--- a/libraries/requests/tarragonward_requests/__init__.py
+++ b/libraries/requests/tarragonward_requests/__init__.py
@@ -40,7 +40,7 @@
 )
 from .outliers import ListLifetime, OutlierDetector, PlainBackoff, ProbedBackoff
 from .retries import RetryBudget
-from .shared_budget import BudgetBounds, SharedBudget
+from .shared_budget import RetryBudgetBounds, SharedRetryBudget
 from .suspects import Suspect, SuspectEntry, SuspectTracker, Verdict
 from .sweep import HeldMemory, OwnerSign, Sweep
 
@@ -52,7 +52,6 @@
     "AttemptFault",
     "AttemptFinished",
     "Blamed",
-    "BudgetBounds",
     "CallKey",
     "CallLedger",
     "CallState",
@@ -83,11 +82,12 @@
     "Reply",
     "RequestLifecycle",
     "RetryBudget",
+    "RetryBudgetBounds",
     "Send",
     "SendFailed",
     "SendFault",
     "SendTo",
-    "SharedBudget",
+    "SharedRetryBudget",
     "StartAttempt",
     "StreamEvent",
     "Suspect",
--- a/libraries/requests/tarragonward_requests/exchange.py
+++ b/libraries/requests/tarragonward_requests/exchange.py
@@ -115,7 +115,7 @@
     """
 
     last_id: int | None
-    is_repeat: bool
+    is_retry: bool
     delay_seconds: float = 0.0
     to_previous_target: bool = False
 
@@ -170,7 +170,7 @@
 
     def start(self) -> SendTo:
         """Return the first send."""
-        return SendTo(self.last_id, is_repeat=False)
+        return SendTo(self.last_id, is_retry=False)
 
     def record_sent(self) -> None:
         """Note that the first byte is about to be written to a target."""
@@ -292,14 +292,14 @@
             and has_budget
             and exchange.try_resend(now)
         ):
-            return SendTo(exchange.last_id, is_repeat=True, to_previous_target=True)
+            return SendTo(exchange.last_id, is_retry=True, to_previous_target=True)
     is_lost = event.fault in (SendFault.LOST, SendFault.SPOILED)
     if is_lost and has_budget and exchange.try_abandoned_target(now):
-        return SendTo(exchange.last_id, is_repeat=True, to_previous_target=True)
+        return SendTo(exchange.last_id, is_retry=True, to_previous_target=True)
     if event.fault is SendFault.NO_TARGET:
         return exchange.choose_final_effect(event.retry_after_seconds)
     if exchange.can_send_again(now) and (has_budget or not exchange.sends):
-        return SendTo(exchange.last_id, is_repeat=exchange.sends > 0)
+        return SendTo(exchange.last_id, is_retry=exchange.sends > 0)
     return exchange.choose_final_effect(event.retry_after_seconds)
 
 
@@ -310,9 +310,9 @@
     # A whole answer in place of a stream's rest cannot follow what was given of it.
     is_failure = event.is_failure or exchange.is_started
     exchange.has_held_answer = True
-    can_repeat = is_failure and exchange.policy.may_run_again and has_budget
-    if can_repeat and exchange.can_send_again(now):
-        return SendTo(exchange.last_id, is_repeat=True)
+    can_retry = is_failure and exchange.policy.may_run_again and has_budget
+    if can_retry and exchange.can_send_again(now):
+        return SendTo(exchange.last_id, is_retry=True)
     return AbortConnection() if exchange.is_started else ForwardAnswer()
 
 
--- a/libraries/requests/tests/test_exchange.py
+++ b/libraries/requests/tests/test_exchange.py
@@ -188,7 +188,7 @@
     exchange.start()
     exchange.record_sent()
     effect = exchange.handle(TargetAnswered(is_failure=True), 0.0, True)
-    assert effect == SendTo(None, is_repeat=True)
+    assert effect == SendTo(None, is_retry=True)
     is_sent = not isinstance(event, SendFailed) or event.fault not in (
         SendFault.NO_TARGET,
         SendFault.NOT_CONNECTED,
@@ -217,7 +217,7 @@
     returns = [isinstance(each, SendTo) and each.to_previous_target for each in effects]
     assert returns == [True] * c.MAX_RETURNS + [False, False]
     assert isinstance(effects[-1], Refuse)
-    assert all(each.is_repeat for each in effects[:-1])
+    assert all(each.is_retry for each in effects[:-1])
 
 
 @pytest.mark.parametrize(("fault", "returns"), [("LOST", False), ("MOVED", True)])
@@ -256,7 +256,7 @@
     exchange.handle(SendFailed(SendFault.MOVED), 0.2, has_budget=True)
     exchange.record_sent()
     back = exchange.handle(SendFailed(SendFault.LOST), 0.3, has_budget=True)
-    assert back == SendTo(2, is_repeat=True, to_previous_target=True)
+    assert back == SendTo(2, is_retry=True, to_previous_target=True)
     if fault is SendFault.LOST:
         exchange.record_sent()
     assert exchange.handle(SendFailed(fault), 0.4, has_budget=True) == AbortConnection()
