--- a/libraries/bench/tarragonward_bench/harm/crashes.py
+++ b/libraries/bench/tarragonward_bench/harm/crashes.py
@@ -79,7 +79,7 @@
         self.sections[SECTION] = Section(self._build, self._take)
 
     def _build(self) -> list[object] | None:
-        told = self.gossip.choose_in_turn()
+        told = self.gossip.choose_next()
         return self.gossip.build(told, self.world.now) or None
 
     def _take(self, data: list[object], age: float) -> None:
--- a/libraries/bench/tarragonward_bench/harm/limits.py
+++ b/libraries/bench/tarragonward_bench/harm/limits.py
@@ -90,7 +90,7 @@
             target.told_at.setdefault(self, self.world.now)
 
     def _build(self) -> list[object] | None:
-        numbers = self.gossip.choose_in_turn()
+        numbers = self.gossip.choose_next()
         return self.gossip.build(numbers, self.world.now) or None
 
     def _take(self, data: list[object], age: float) -> None:
@@ -99,7 +99,7 @@
     def _tell(self) -> None:
         if not self.wake_at(self._tell):
             return
-        for numbers in self.gossip.take_news():
+        for numbers in self.gossip.take_pending():
             content = self.gossip.build(numbers, self.world.now)
             self.tell(self.members.choose_all(), SECTION, content)
 
--- a/libraries/bench/tarragonward_bench/hearing/host.py
+++ b/libraries/bench/tarragonward_bench/hearing/host.py
@@ -30,12 +30,12 @@
     Step,
     Unconfirmed,
 )
+from tarragonward_gateway.paged_read import PagedRead
+from tarragonward_gateway.polling import KnownHost, PollingOrder, choose_polling_order
 from tarragonward_gateway.ports import Page, Record, Records
 from tarragonward_gateway.pulls import PullLimit
-from tarragonward_gateway.readers import KnownHost, Place, choose_place
-from tarragonward_gateway.reading import WholeReading
-from tarragonward_gateway.record_book import Portion, RecordBook
 from tarragonward_gateway.record_exchange import pack_age, unpack_age
+from tarragonward_gateway.record_store import RecordBatch, RecordStore
 from tarragonward_membership import (
     Greet,
     Hello,
@@ -116,11 +116,11 @@
         )
         wait = 0.0 if number < SEEDS else gateway_const.START_WAIT_SECONDS
         self.follower = Follower(rng, self._world.now, wait)
-        self._reading = WholeReading()
+        self._reading = PagedRead()
         self._given = 0
         self._pulls = PullLimit()
         self._incoming: Transfer | None = None
-        self.book = RecordBook()
+        self.book = RecordStore()
         self.version = 0
         self._has_told = False
         self.confirmed_at = -math.inf
@@ -130,7 +130,7 @@
         self._asked = 0
         self._sent = self._sent_brief = 0
         self._mates_at = -math.inf
-        self.place = Place(1, 0)
+        self.place = PollingOrder(1, 0)
         self._round()
         self._follow()
 
@@ -188,7 +188,7 @@
         if self._fleet.links.is_out(self.number):
             source.calls += 1
         elif isinstance(step, ReadAll):
-            key = self._reading.choose_after(self._world.now)
+            key = self._reading.get_after_key(self._world.now)
             source.read_page(self.number, key, lambda a: self._transfer(call, a))
         else:
             source.watch(
@@ -252,7 +252,9 @@
         elif isinstance(answer, Page):
             self._hear(self._take_page(answer, call.asked_at))
         else:
-            new = self.take(Portion(answer.records, answer.revision, False), call.after)
+            new = self.take(
+                RecordBatch(answer.records, answer.revision, False), call.after
+            )
             is_gap = not answer.records and answer.revision > call.after
             age = answer.age_seconds + self._suspended - call.suspended
             self._hear(SourceAnswered(bool(new), is_gap, age))
@@ -264,7 +266,7 @@
         read = self._reading.take(page, asked_at)
         if read is None:
             return PageRead()
-        portion = Portion(read.records, read.revision, True)
+        portion = RecordBatch(read.records, read.revision, True)
         new = self.take(portion, self.book.complete)
         if not self._has_told:
             self._has_told = True
@@ -272,7 +274,7 @@
         age = self._reading.compute_age(self._world.now)
         return SourceAnswered(bool(new), age_seconds=age)
 
-    def take(self, portion: Portion, after: int) -> list[Record]:
+    def take(self, portion: RecordBatch, after: int) -> list[Record]:
         """Take records in, put a table in force."""
         new = self.book.take(portion, after)
         for record in new:
@@ -327,7 +329,7 @@
                 portion, self, lambda: take(portion, age, peer.number), refuse_soon
             )
 
-        def take(portion: Portion, age: float, number: int) -> None:
+        def take(portion: RecordBatch, age: float, number: int) -> None:
             end()
             if fleet.links.is_cut(self.number, number):
                 return
@@ -349,7 +351,7 @@
 
     def give(
         self,
-        portion: Portion,
+        portion: RecordBatch,
         asker: Host,
         take: Callable[[], None],
         end: Callable[[], None],
@@ -392,7 +394,7 @@
             for peer in self.members.get_peers()
             if peer.failure_domain and not peer.is_leaving
         ]
-        self.place = choose_place(own, others)
+        self.place = choose_polling_order(own, others)
         group = self.place.group or [other.located.name for other in others]
         self.members.set_mates([Address.parse(name) for name in group])
 
--- a/libraries/bench/tarragonward_bench/hearing/runs.py
+++ b/libraries/bench/tarragonward_bench/hearing/runs.py
@@ -293,7 +293,7 @@
         muted = {
             host.number
             for host in self.fleet.hosts.values()
-            if host.number in self.links.side and host.place.fed_rank is None
+            if host.number in self.links.side and host.place.standby_rank is None
         }
         ends = self.random.uniform(2.0, 8.0)
         self.source.muted |= muted
--- a/libraries/bench/tests/test_harm.py
+++ b/libraries/bench/tests/test_harm.py
@@ -24,7 +24,7 @@
 def test_hosts_that_tell_each_other_nothing_are_found_out(monkeypatch):
     """Each host would let three targets end: the runs must see it."""
     monkeypatch.setattr(SuspectGossip, "take_due", lambda self, now: [])
-    monkeypatch.setattr(SuspectGossip, "choose_in_turn", lambda self: [])
+    monkeypatch.setattr(SuspectGossip, "choose_next", lambda self: [])
     with pytest.raises(AssertionError, match="sends late"):
         for seed in range(1, 4):
             CrashRun(CrashPlan(hosts=40, targets=80), seed).run()
--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -17,7 +17,7 @@
 
 from . import const as c
 from .cell_gossip import CellGossip
-from .cells import CellKeeper
+from .cells import CellTracker
 from .forwarder import Forwarder
 from .health import HealthRoutes
 from .limit_task import LimitTask
@@ -51,9 +51,9 @@
         self.state = GatewayState(settings, headers or HeaderNames(), paths or Paths())
         self.peers = Peers(self.state)
         self.state.count_sharing_hosts = self.peers.count_sharing_hosts
-        self.cells = CellKeeper(self.state, self.peers, time.monotonic)
+        self.cells = CellTracker(self.state, self.peers, time.monotonic)
         self.publications = PublicationTask(
-            self.state, reader, parser, self.peers, self.cells.get_place
+            self.state, reader, parser, self.peers, self.cells.get_polling_order
         )
         self.publications.on_table.append(self._apply_limits)
         self.targets = TargetChooser(self.state, time.monotonic)
--- a/libraries/gateway/tarragonward_gateway/cell_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/cell_gossip.py
@@ -101,7 +101,7 @@
         """Return whether any prompt may go to engines of other cells."""
         table = self._state.table
         services = table.services.values() if table is not None else ()
-        looks_beyond = self._chooser.looks_beyond_cell
+        looks_beyond = self._chooser.allows_cross_cell
         return any(s.engine is not None and looks_beyond(s.name) for s in services)
 
     def _build(self) -> dict[str, Any] | None:
--- a/libraries/gateway/tarragonward_gateway/cells.py
+++ b/libraries/gateway/tarragonward_gateway/cells.py
@@ -11,13 +11,13 @@
 from . import const as c
 from .clock import read_clock
 from .peers import Peers
-from .readers import KnownHost, Place, choose_place
+from .polling import KnownHost, PollingOrder, choose_polling_order
 from .state import GatewayState
 
-__all__ = ["CellKeeper"]
+__all__ = ["CellTracker"]
 
 
-class CellKeeper:
+class CellTracker:
     """The cell for each service, worked out anew each so often from who is there."""
 
     def __init__(
@@ -28,7 +28,7 @@
         self._clock = clock
         self._cells: dict[str, tuple[float, Cell]] = {}
         self._place_at = float("-inf")
-        self._place = Place(1, 0)
+        self._place = PollingOrder(1, 0)
 
     def get(self, service: str) -> Cell:
         """Return this host's cell among the engines of a service."""
@@ -50,13 +50,13 @@
             self._tell_mates()
         return new
 
-    def get_place(self) -> Place:
+    def get_polling_order(self) -> PollingOrder:
         """Return this host's place among those that ask for what is published."""
         now = self._clock()
         if now - self._place_at < c.POLLING_ORDER_REFRESH_SECONDS:
             return self._place
         old, self._place_at = self._place, now
-        self._place = choose_place(self._locate_own(), self._list_hosts())
+        self._place = choose_polling_order(self._locate_own(), self._list_hosts())
         if self._place.group != old.group:
             self._tell_mates()
         return self._place
--- a/libraries/gateway/tarragonward_gateway/following.py
+++ b/libraries/gateway/tarragonward_gateway/following.py
@@ -7,7 +7,7 @@
 from functools import singledispatch
 
 from . import const as c
-from .readers import Place
+from .polling import PollingOrder
 
 __all__ = [
     "AskPeer",
@@ -178,7 +178,9 @@
         self._is_reading = False
         self.failures = 0
 
-    def choose_step(self, place: Place, confirmed_age: float, now: float) -> Step:
+    def choose_step(
+        self, place: PollingOrder, confirmed_age: float, now: float
+    ) -> Step:
         """Return what to do now; confirmed_age is that of what the host holds."""
         self._confirmed_at = now - confirmed_age
         step = self._choose_step(place, confirmed_age, now)
@@ -186,7 +188,9 @@
         self._is_reading = isinstance(step, ReadAll)
         return step
 
-    def _choose_step(self, place: Place, confirmed_age: float, now: float) -> Step:
+    def _choose_step(
+        self, place: PollingOrder, confirmed_age: float, now: float
+    ) -> Step:
         fed_left = self._compute_fed_left(place, confirmed_age)
         self._is_fed = fed_left > 0.0
         if self._is_fed:
@@ -196,11 +200,11 @@
             return Pause(self._pause_until - now)
         if self._must_read:
             return ReadAll()
-        if place.fed_rank is not None or self._is_given:
+        if place.standby_rank is not None or self._is_given:
             return Watch(c.STANDBY_WATCH_SECONDS)
         return Watch(self._choose_wait(place))
 
-    def _compute_fed_left(self, place: Place, confirmed_age: float) -> float:
+    def _compute_fed_left(self, place: PollingOrder, confirmed_age: float) -> float:
         """Return how much longer others ask for this host.
 
         Its readers may be dead, frozen or cut off from it or from the source. Symptom:
@@ -209,15 +213,15 @@
         first of a group asks shortly, which confirms for all that hear it, and groups
         begin one after the other, as one that is answered confirms for all of them.
         """
-        if place.fed_rank is None:
+        if place.standby_rank is None:
             return 0.0
         wait = (
             c.STANDBY_POLL_AGE_SECONDS
-            + place.group_share * c.STANDBY_GROUP_SPREAD_SECONDS
+            + place.group_fraction * c.STANDBY_GROUP_SPREAD_SECONDS
         )
-        return wait + place.fed_rank * c.STANDBY_RANK_STEP_SECONDS - confirmed_age
+        return wait + place.standby_rank * c.STANDBY_RANK_STEP_SECONDS - confirmed_age
 
-    def _choose_wait(self, place: Place) -> float:
+    def _choose_wait(self, place: PollingOrder) -> float:
         hosts = place.hosts
         if place.group:
             wait = min(c.MAX_WATCH_SECONDS, hosts * c.POLLER_WATCH_STAGGER_SECONDS)
--- a/libraries/gateway/tarragonward_gateway/forwarder.py
+++ b/libraries/gateway/tarragonward_gateway/forwarder.py
@@ -18,7 +18,7 @@
 from .reservations import ReservationTask
 from .run import ForwardRun
 from .state import GatewayState
-from .suspects import SuspectWatch
+from .suspects import SuspectMonitor
 from .targets import TargetChooser
 
 __all__ = ["Forwarder"]
@@ -40,7 +40,7 @@
         self._state = state
         self._reservations = reservations
         self._chooser = chooser
-        self.suspects = SuspectWatch(state, chooser.probes)
+        self.suspects = SuspectMonitor(state, chooser.probes)
         self.in_flight = 0
 
     def check_head(self, head: HttpHead) -> ForwardContext:
--- a/libraries/gateway/tarragonward_gateway/silence.py
+++ b/libraries/gateway/tarragonward_gateway/idle_timeout.py
@@ -9,7 +9,7 @@
 
 from . import const as c
 
-__all__ = ["SilenceWatch", "StreamMovedError", "TargetSilentError"]
+__all__ = ["IdleTimeout", "StreamMovedError", "TargetSilentError"]
 
 
 class TargetSilentError(Exception):
@@ -20,7 +20,7 @@
     """Report that a target was left for one that is not held up."""
 
 
-class SilenceWatch:
+class IdleTimeout:
     """The time that a target has until its next event.
 
     A target behind a cut, or frozen, keeps its connections open. Symptom: the caller
@@ -57,7 +57,7 @@
         if self._timer is not None:
             self._arm(0.0)
 
-    async def __aenter__(self) -> SilenceWatch:
+    async def __aenter__(self) -> IdleTimeout:
         """Begin to wait for the first event."""
         await self._scope.__aenter__()
         self._silent_at = self._loop.time() + self._first_seconds
--- a/libraries/gateway/tarragonward_gateway/limit_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/limit_gossip.py
@@ -8,7 +8,7 @@
 from tarragonward_placement import LimitEntry, TargetLimits
 
 from . import const as c
-from .turns import Turn
+from .turns import Rotation
 
 __all__ = ["LimitGossip"]
 
@@ -22,19 +22,19 @@
     def __init__(self, limits: TargetLimits) -> None:
         self._limits = limits
         self._news: dict[int, None] = {}
-        self._turn = Turn()
+        self._turn = Rotation()
 
     def note_changed(self, number: int) -> None:
         """Note that all should hear of a target's limit."""
         self._news[number] = None
 
-    def take_news(self) -> list[list[int]]:
+    def take_pending(self) -> list[list[int]]:
         """Return the targets to tell of now, as many at a time as a message holds."""
         news, self._news = list(self._news), {}
         size = c.MAX_LIMITS_PER_MESSAGE
         return [news[start : start + size] for start in range(0, len(news), size)]
 
-    def choose_in_turn(self) -> list[int]:
+    def choose_next(self) -> list[int]:
         """Return a few of all targets that name limits, others at each call."""
         return self._turn.take(list(self._limits.iterate()), c.MAX_LIMITS_PER_ROUND)
 
--- a/libraries/gateway/tarragonward_gateway/limit_task.py
+++ b/libraries/gateway/tarragonward_gateway/limit_task.py
@@ -65,13 +65,13 @@
 
     def _tell(self) -> None:
         self._timer = None
-        for numbers in self._gossip.take_news():
+        for numbers in self._gossip.take_pending():
             self._telling = numbers
             self._peers.tell_all(SECTION)
         self._telling = []
 
     def _build(self) -> list[Any] | None:
-        told = self._telling or self._gossip.choose_in_turn()
+        told = self._telling or self._gossip.choose_next()
         return self._gossip.build(told, read_clock()) or None
 
     def _take(self, host: str, data: Any, age: float) -> None:
--- a/libraries/gateway/tarragonward_gateway/moving.py
+++ b/libraries/gateway/tarragonward_gateway/moving.py
@@ -9,7 +9,7 @@
 from tarragonward_requests import Exchange
 
 from . import const as c
-from .silence import SilenceWatch
+from .idle_timeout import IdleTimeout
 from .state import GatewayState
 from .targets import SendChoice, TargetChooser, TargetNeed
 
@@ -41,7 +41,7 @@
         self.repeat_at: float | None = None
 
     def consider(
-        self, choice: SendChoice, watch: SilenceWatch, work: EngineWork
+        self, choice: SendChoice, watch: IdleTimeout, work: EngineWork
     ) -> None:
         """Leave the target where another one would go on in time."""
         need = self._build_need()
@@ -50,7 +50,7 @@
         self._begin(need)
         watch.leave()
 
-    def leaves_overdue(self) -> bool:
+    def try_move_overdue(self) -> bool:
         """Return whether to leave a target whose first event is overdue, and note it.
 
         A prompt waits unread behind work that nobody told of, at an engine that has
@@ -60,9 +60,9 @@
         need = self._build_need()
         if self._exchange.is_started or not self._may_move(need):
             return False
-        if not self._chooser.looks_beyond_cell(need.service):
+        if not self._chooser.allows_cross_cell(need.service):
             return False
-        other = self._chooser.find_instead(need)
+        other = self._chooser.find_alternative(need)
         if other is None or other.plan is None:
             return False
         left = need.aim_at - self._loop.time()
@@ -75,7 +75,7 @@
         self.is_moving = True
         self.repeat_at = self._state.record_repeat(need.service)
 
-    def give_up(self) -> None:
+    def cancel_move(self) -> None:
         """Give the repeat back where the answer ended before the target was left."""
         if self.is_moving and self.repeat_at is not None:
             service = self._build_need().service
@@ -99,7 +99,7 @@
         limit = need.aim_at - self._loop.time()
         if not gains_by_moving(waits, 0.0, limit):
             return False
-        other = self._chooser.find_instead(need)
+        other = self._chooser.find_alternative(need)
         if other is None or other.plan is None or other.plan.tickets:
             return False
         return gains_by_moving(waits, other.plan.first_event_seconds, limit)
--- a/libraries/gateway/tarragonward_gateway/operators.py
+++ b/libraries/gateway/tarragonward_gateway/operators.py
@@ -20,7 +20,7 @@
 from . import const as c
 from .clock import read_clock
 from .state import GatewayState
-from .suspects import SuspectWatch
+from .suspects import SuspectMonitor
 
 __all__ = ["OperatorsTask", "build_log_budget"]
 
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, state: GatewayState, reach: TargetHealthTracker, suspects: SuspectWatch
+        self, state: GatewayState, reach: TargetHealthTracker, suspects: SuspectMonitor
     ) -> None:
         self._state = state
         self._suspects = suspects
--- a/libraries/gateway/tarragonward_gateway/reading.py
+++ b/libraries/gateway/tarragonward_gateway/paged_read.py
@@ -5,10 +5,10 @@
 from . import const as c
 from .ports import Page, Record, Records
 
-__all__ = ["WholeReading"]
+__all__ = ["PagedRead"]
 
 
-class WholeReading:
+class PagedRead:
     """The pages read so far; times in seconds.
 
     The source bounds the calls of all hosts together. Symptom of beginning anew after
@@ -24,7 +24,7 @@
         self._next_after = ""
         self._begun_at = float("-inf")
 
-    def choose_after(self, now: float) -> str:
+    def get_after_key(self, now: float) -> str:
         """Return the key after which the next page begins."""
         if now - self._begun_at > c.MAX_PAGED_READ_AGE_SECONDS:
             self.clear()
--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -13,9 +13,9 @@
 from .state import GatewayState
 from .targets import SendChoice, TargetChooser, TargetNeed
 
-__all__ = ["Placed", "SendPlacer"]
+__all__ = ["PlacedSend", "SendPlacer"]
 
-Placed = tuple[SendChoice, Lease | None]
+PlacedSend = tuple[SendChoice, Lease | None]
 
 
 class SendPlacer:
@@ -45,30 +45,30 @@
         self._loop = asyncio.get_running_loop()
         self._leader = ""
         self.tried: set[str] = set()
-        self.left = ""
+        self.abandoned = ""
         self.is_suspect = False
 
-    def start_trial(self, target: RegisteredTarget) -> None:
+    def record_chosen(self, target: RegisteredTarget) -> None:
         """Note that the request goes to a target."""
         self.tried.add(target.id)
         self._leader = target.id
 
-    async def async_place(self, returns: bool) -> Placed | None:
+    async def async_place(self, returns: bool) -> PlacedSend | None:
         """Return where to send next, None where no target is left.
 
         returns: to the target where a stream came from, or to the last one.
         """
-        leader = (self._exchange.is_started and self.left) or self._leader
+        leader = (self._exchange.is_started and self.abandoned) or self._leader
         placed = await self._async_place(leader if returns else "")
         if placed is None and returns:
             self._exchange.cancel_resend()
             if self._exchange.can_send_again(self._loop.time()):
                 placed = await self._async_place()
-        if placed is None and self.left:
+        if placed is None and self.abandoned:
             placed = await self._async_place_again()
         return placed
 
-    async def _async_place_again(self) -> Placed | None:
+    async def _async_place_again(self) -> PlacedSend | None:
         """Return the target that was left while it was at work, if it may be sent to.
 
         The one that the request left for may be dead, and nobody has found out yet.
@@ -76,12 +76,12 @@
         off, though the engine that it came from is well. It has had the request
         already, so it is not one more target.
         """
-        left, self.left = self.left, ""
+        left, self.abandoned = self.abandoned, ""
         if not self._exchange.can_send_again(self._loop.time()):
             return None
         return await self._async_place(left)
 
-    async def _async_place(self, leader: str = "") -> Placed | None:
+    async def _async_place(self, leader: str = "") -> PlacedSend | None:
         """Return where to send, with the memory held where one engine has too little.
 
         Where a leader is given, it is the one that is to answer.
@@ -95,14 +95,14 @@
                 return None
             is_last = attempt + 1 == c.MAX_RESERVATION_ATTEMPTS
             if choice.helpers and not is_last:
-                with self._chooser.hold(choice):
+                with self._chooser.track_in_flight(choice):
                     are_reached = await self._chooser.probes.async_check(choice.helpers)
                 if not are_reached:
                     self._chooser.return_send(choice.target)
                     continue
             if not choice.needs_tickets:
                 return choice, None
-            with self._chooser.hold(choice):
+            with self._chooser.track_in_flight(choice):
                 held = await self._reservations.async_reserve(choice)
             if isinstance(held, Lease):
                 return choice, held
--- a/libraries/gateway/tarragonward_gateway/readers.py
+++ b/libraries/gateway/tarragonward_gateway/polling.py
@@ -10,7 +10,7 @@
 
 from . import const as c
 
-__all__ = ["KnownHost", "Place", "choose_place"]
+__all__ = ["KnownHost", "PollingOrder", "choose_polling_order"]
 
 
 @dataclass(frozen=True)
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class PollingOrder:
     """A host's place among those that ask the source, and who feeds each other.
 
     rank is its place among the hosts that ask; fed_rank is its place among those of
@@ -32,12 +32,12 @@
 
     hosts: int
     rank: int
-    fed_rank: int | None = None
+    standby_rank: int | None = None
     group: frozenset[str] = frozenset()
-    group_share: float = 0.0
+    group_fraction: float = 0.0
 
 
-def choose_place(own: Located, others: Iterable[KnownHost]) -> Place:
+def choose_polling_order(own: Located, others: Iterable[KnownHost]) -> PollingOrder:
     """Return a host's place; others are the hosts known to be there, without it.
 
     Each change wakes every watch. Symptom: calls grow with hosts times changes. So in
@@ -47,7 +47,7 @@
     known = {host.located.name: host for host in others}
     known[own.name] = KnownHost(own)
     if len(known) <= MAX_SINGLE_CELL_HOSTS:
-        return Place(len(known), sum(name < own.name for name in known))
+        return PollingOrder(len(known), sum(name < own.name for name in known))
     parts = divide_hosts(host.located for host in known.values())
     number = next(n for n, part in enumerate(parts) if own.name in part)
     awake = [
@@ -57,10 +57,10 @@
     ]
     rank = awake.index(own.name)
     is_fed = rank >= c.POLLERS_PER_GROUP
-    return Place(
+    return PollingOrder(
         hosts=len(parts) * c.POLLERS_PER_GROUP,
         rank=number * c.POLLERS_PER_GROUP + min(rank, c.POLLERS_PER_GROUP - 1),
-        fed_rank=rank - c.POLLERS_PER_GROUP if is_fed else None,
+        standby_rank=rank - c.POLLERS_PER_GROUP if is_fed else None,
         group=frozenset(parts[number]),
-        group_share=number / len(parts),
+        group_fraction=number / len(parts),
     )
--- a/libraries/gateway/tarragonward_gateway/probes.py
+++ b/libraries/gateway/tarragonward_gateway/probes.py
@@ -22,7 +22,7 @@
 from .clock import read_clock
 from .state import GatewayState
 
-__all__ = ["TargetProbes"]
+__all__ = ["TargetProber"]
 
 TASK_NAME = "probes"
 EVIDENCE = {
@@ -33,7 +33,7 @@
 }
 
 
-class TargetProbes:
+class TargetProber:
     """Probes what TargetHealthTracker selects, reports results to it, logs changes."""
 
     def __init__(self, state: GatewayState, reach: TargetHealthTracker) -> None:
@@ -57,7 +57,7 @@
             task.cancel()
         await asyncio.gather(*probing, return_exceptions=True)
 
-    def note(self, target: RegisteredTarget, evidence: Evidence) -> None:
+    def record(self, target: RegisteredTarget, evidence: Evidence) -> None:
         """Take in what was seen of a target, and log what changes by it."""
         for effect in self._reach.observe(target, evidence, read_clock()):
             if isinstance(effect, TargetEjected):
@@ -74,20 +74,22 @@
             elif isinstance(effect, DomainRestored):
                 log_event("domain_regained", domain=effect.domain)
 
-    def note_failed(self, target: RegisteredTarget, fault: SendFault) -> None:
+    def record_failure(self, target: RegisteredTarget, fault: SendFault) -> None:
         """Note a send that brought nothing."""
         evidence = EVIDENCE.get(fault)
         if evidence is not None:
-            self.note(target, evidence)
+            self.record(target, evidence)
 
-    def note_named(self, helpers: Sequence[RegisteredTarget], name: str) -> bool:
+    def record_reported_fault(
+        self, helpers: Sequence[RegisteredTarget], name: str
+    ) -> bool:
         """Note that a refusal names a target as at fault, by its address or its name.
 
         Return whether it is one of the helpers.
         """
         named = [h for h in helpers if name in (str(h.address), h.name)]
         for helper in named:
-            self.note(helper, Evidence.REPORTED_AT_FAULT)
+            self.record(helper, Evidence.REPORTED_AT_FAULT)
         return bool(named)
 
     async def async_check(self, targets: Sequence[RegisteredTarget]) -> bool:
@@ -101,10 +103,10 @@
         reached = await asyncio.gather(*(self._async_probe(each) for each in unsure))
         for target, is_reached in zip(unsure, reached, strict=True):
             if not is_reached:
-                self.note(target, Evidence.NOT_CONNECTED)
+                self.record(target, Evidence.NOT_CONNECTED)
         return all(reached)
 
-    def check_later(self, target: RegisteredTarget) -> None:
+    def check_in_background(self, target: RegisteredTarget) -> None:
         """Connect to a target that may be out of reach, while others are served."""
         task = asyncio.create_task(self.async_check([target]))
         self._probing.add(task)
@@ -125,7 +127,7 @@
     async def _async_note_ended(self, target: RegisteredTarget) -> bool:
         if await self._async_probe(target):
             return False
-        self.note(target, Evidence.ENDED)
+        self.record(target, Evidence.ENDED)
         return True
 
     async def _async_try(self) -> None:
@@ -144,7 +146,7 @@
         # once a second, put the whole domain in doubt for good.
         is_reached = await _async_connect(target.address)
         if is_reached:
-            self.note(target, Evidence.CONNECTED)
+            self.record(target, Evidence.CONNECTED)
         return is_reached
 
 
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -33,13 +33,13 @@
     Unconfirmed,
     Watch,
 )
+from .paged_read import PagedRead
 from .peers import Peers
+from .polling import PollingOrder
 from .ports import HistoryLostError, Record, RecordParser, RecordReader, SourceError
 from .pulls import PullLimit
-from .readers import Place
-from .reading import WholeReading
-from .record_book import Portion, RecordBook
-from .record_exchange import RecordRoutes, async_ask_peer, pack_age, unpack_age
+from .record_exchange import RecordHandler, async_pull_records, pack_age, unpack_age
+from .record_store import RecordBatch, RecordStore
 from .state import GatewayState
 
 __all__ = ["PublicationTask"]
@@ -58,24 +58,24 @@
         reader: RecordReader,
         parser: RecordParser,
         peers: Peers,
-        get_place: Callable[[], Place],
+        get_polling_order: Callable[[], PollingOrder],
     ) -> None:
         self._state = state
-        self._get_place = get_place
+        self._get_place = get_polling_order
         self._reader = reader
         self._parser = parser
         self._peers = peers
         self._follower = Follower(state.random, read_clock(), self._choose_start_wait())
-        self._reading = WholeReading()
+        self._reading = PagedRead()
         self._background = BackgroundTasks(state.metrics)
         self._pulls: set[asyncio.Task[None]] = set()
         self._pull_limit = PullLimit()
         self._wake = asyncio.Event()
         self._has_told = False
-        self.book = RecordBook()
+        self.book = RecordStore()
         self.on_table: list[Callable[[], None]] = []
         self._control = HttpServer(
-            state.settings.control, RecordRoutes(state, self.book).async_handle
+            state.settings.control, RecordHandler(state, self.book).async_handle
         )
         peers.add_section(SECTION, self._build_section, self._take_section)
 
@@ -187,19 +187,21 @@
         # The answer may have lain in the socket of a host that stood still. Symptom:
         # the host, and all that hear it, take an old table for confirmed just now.
         age = read.age_seconds + max(0.0, read_suspended() - suspended)
-        new = self.take(Portion(read.records, read.revision, False), after)
+        new = self.take(RecordBatch(read.records, read.revision, False), after)
         is_gap = not read.records and read.revision > after
         return SourceAnswered(bool(new), is_gap, age)
 
     async def _async_read_page(self) -> SourceAnswered | PageRead:
         asked_at = read_clock()
-        after = self._reading.choose_after(asked_at)
+        after = self._reading.get_after_key(asked_at)
         page = await self._reader.async_read_page(after, c.READ_SILENCE_TIMEOUT_SECONDS)
         read = self._reading.take(page, asked_at)
         if read is None:
             return PageRead()
         log_event("records_read", count=len(read.records), revision=read.revision)
-        new = self.take(Portion(read.records, read.revision, True), self.book.complete)
+        new = self.take(
+            RecordBatch(read.records, read.revision, True), self.book.complete
+        )
         age = self._reading.compute_age(read_clock())
         return SourceAnswered(bool(new), age_seconds=age)
 
@@ -243,7 +245,7 @@
             return False
         asked_at, after = read_clock(), self.book.complete
         try:
-            given = await async_ask_peer(address, after)
+            given = await async_pull_records(address, after)
         except (TargetError, FrameError) as err:
             log_event("peer_gave_no_records", peer=name, error=str(err))
             return False
@@ -274,7 +276,7 @@
         if is_news and self._get_place().group and not self._peers.is_mate(name):
             self._peers.tell_now()
 
-    def take(self, portion: Portion, after: int) -> list[Record]:
+    def take(self, portion: RecordBatch, after: int) -> list[Record]:
         """Take records in, in any order; return those that were new."""
         new = self.book.take(portion, after)
         gone = [record for record in new if record.value is None]
@@ -309,7 +311,7 @@
         table = self._parser.parse_table(record)
         if table is None:
             self._note_refused_table(record)
-        elif self._state.put_in_force(table):
+        elif self._state.install_table(table):
             log_event("table_in_force", version=table.version, routes=len(table.routes))
             for notify in self.on_table:
                 notify()
--- a/libraries/gateway/tarragonward_gateway/record_exchange.py
+++ b/libraries/gateway/tarragonward_gateway/record_exchange.py
@@ -16,10 +16,16 @@
 from . import const as c
 from .clock import read_clock
 from .ports import Record
-from .record_book import Portion, RecordBook
+from .record_store import RecordBatch, RecordStore
 from .state import GatewayState
 
-__all__ = ["PeerPortion", "RecordRoutes", "async_ask_peer", "pack_age", "unpack_age"]
+__all__ = [
+    "PeerRecords",
+    "RecordHandler",
+    "async_pull_records",
+    "pack_age",
+    "unpack_age",
+]
 
 STATUS_OK = 200
 METHOD_GET = "GET"
@@ -29,10 +35,10 @@
 
 
 @dataclass(frozen=True)
-class PeerPortion:
+class PeerRecords:
     """What a peer gave; confirmed_age is since the source answered it or its peers."""
 
-    portion: Portion
+    portion: RecordBatch
     confirmed_age: float
 
 
@@ -57,10 +63,10 @@
     return item / MILLISECONDS
 
 
-class RecordRoutes:
+class RecordHandler:
     """The control address: what peers ask this host for."""
 
-    def __init__(self, state: GatewayState, book: RecordBook) -> None:
+    def __init__(self, state: GatewayState, book: RecordStore) -> None:
         self._state = state
         self._book = book
         self._given = 0
@@ -106,7 +112,7 @@
         return self._packed[key]
 
 
-async def async_ask_peer(address: Address, after: int) -> PeerPortion:
+async def async_pull_records(address: Address, after: int) -> PeerRecords:
     """Return a peer's records after a revision; raise TargetError or FrameError."""
     answer = await async_send_http(
         address,
@@ -127,7 +133,9 @@
         records = tuple(_unpack_record(item) for item in items)
     except (ValueError, TypeError, zlib.error, msgpack.UnpackException) as err:
         raise FrameError(f"not a peer's records: {err}") from None
-    return PeerPortion(Portion(records, complete, is_whole is True), unpack_age(age))
+    return PeerRecords(
+        RecordBatch(records, complete, is_whole is True), unpack_age(age)
+    )
 
 
 def _decompress(packed: bytes) -> bytes:
--- a/libraries/gateway/tarragonward_gateway/record_book.py
+++ b/libraries/gateway/tarragonward_gateway/record_store.py
@@ -9,11 +9,11 @@
 from . import const as c
 from .ports import Record
 
-__all__ = ["Portion", "RecordBook"]
+__all__ = ["RecordBatch", "RecordStore"]
 
 
 @dataclass(frozen=True)
-class Portion:
+class RecordBatch:
     """Records of a book; where is_whole, an item that is not among them is gone."""
 
     records: tuple[Record, ...]
@@ -21,7 +21,7 @@
     is_whole: bool
 
 
-class RecordBook:
+class RecordStore:
     """Records by key; revisions only grow, so they may come in any order, from anyone.
 
     complete is the revision up to which no change is missing; changed is the greatest
@@ -38,7 +38,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def take(self, portion: Portion, after: int) -> list[Record]:
+    def take(self, portion: RecordBatch, after: int) -> list[Record]:
         """Take in what changed after a revision; return what is new."""
         new = [record for record in portion.records if self._put(record)]
         if portion.is_whole:
@@ -53,7 +53,7 @@
             self._raise_complete(portion.complete)
         return new
 
-    def get_since(self, revision: int) -> Portion:
+    def get_since(self, revision: int) -> RecordBatch:
         """Return what changed after a revision, all where that is not known."""
         is_whole = revision < self._forgotten
         least = 0 if is_whole else revision
@@ -64,7 +64,7 @@
                 for key, gone in self._withdrawn.items()
                 if gone > revision
             ]
-        return Portion(tuple(records), self.complete, is_whole)
+        return RecordBatch(tuple(records), self.complete, is_whole)
 
     def _put(self, record: Record) -> bool:
         known = self._records.get(record.key)
@@ -86,7 +86,7 @@
         self.changed = max(self.changed, record.revision)
         return True
 
-    def _withdraw_absent(self, portion: Portion) -> list[Record]:
+    def _withdraw_absent(self, portion: RecordBatch) -> list[Record]:
         present = {record.key for record in portion.records}
         absent = [
             Record(known.key, portion.complete, None)
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -46,13 +46,13 @@
 from .context import ForwardContext
 from .headers import build_answer_headers, build_target_headers, parse_count
 from .heads import HeadCheck, SpoiledAnswerError
+from .idle_timeout import IdleTimeout, StreamMovedError, TargetSilentError
 from .moving import StreamMover
 from .observer import RequestObserver
 from .placing import SendPlacer
 from .reservations import ReservationTask
-from .silence import SilenceWatch, StreamMovedError, TargetSilentError
 from .state import GatewayState
-from .suspects import RequestIdentity, SuspectWatch
+from .suspects import RequestIdentity, SuspectMonitor
 from .targets import SendChoice, TargetChooser
 
 __all__ = ["ForwardRun"]
@@ -75,7 +75,7 @@
         state: GatewayState,
         chooser: TargetChooser,
         reservations: ReservationTask,
-        suspects: SuspectWatch,
+        suspects: SuspectMonitor,
         request: HttpRequest,
         responder: Responder,
     ) -> None:
@@ -119,7 +119,7 @@
             state, chooser, self._exchange, self._placer.build_need
         )
         self._repeat_at: float | None = None
-        self._watch: SilenceWatch | None = None
+        self._watch: IdleTimeout | None = None
         self._answer: tuple[int, tuple[tuple[bytes, bytes], ...], bytes] | None = None
         state.record_request(context.service)
 
@@ -142,7 +142,7 @@
             if self._exchange.has_ended:
                 raise
             effect = self._hear(TimeOver())
-        self._mover.give_up()
+        self._mover.cancel_move()
         await self._async_end(effect)
 
     def _read_last_id(self) -> int | None:
@@ -207,15 +207,15 @@
         self._observer.note_choice(
             target, choice.predicted_at, readers, tried=len(self._placer.tried)
         )
-        self._placer.start_trial(target)
+        self._placer.record_chosen(target)
         try:
             with ExitStack() as stack:
                 if self._placer.is_suspect:
-                    stack.enter_context(self._suspects.trial(self._identity))
-                    stack.enter_context(self._chooser.hold_alone(target))
+                    stack.enter_context(self._suspects.isolated_attempt(self._identity))
+                    stack.enter_context(self._chooser.isolate_target(target))
                 if lease is not None:
                     stack.callback(lease.release)
-                stack.enter_context(self._chooser.hold(choice))
+                stack.enter_context(self._chooser.track_in_flight(choice))
                 event = await self._async_attempt(choice, effect)
         except NotConnectedError as err:
             event = SendFailed(SendFault.NOT_CONNECTED)
@@ -223,13 +223,13 @@
             self._chooser.return_send(target)
             self._log_failed(target, event, err)
         except StreamMovedError as err:
-            self._placer.left = target.id
+            self._placer.abandoned = target.id
             if not self._exchange.is_started:
-                self._chooser.probes.check_later(target)
+                self._chooser.probes.check_in_background(target)
             event = SendFailed(SendFault.MOVED)
             self._log_failed(target, event, err)
         except TargetSilentError as err:
-            self._placer.left = target.id
+            self._placer.abandoned = target.id
             event = SendFailed(SendFault.SILENT)
             self._log_failed(target, event, err)
         except SpoiledAnswerError as err:
@@ -239,9 +239,9 @@
             event = SendFailed(SendFault.LOST)
             self._log_failed(target, event, err)
             if not _was_unreachable(err):
-                await self._suspects.async_note_lost(self._identity, target)
+                await self._suspects.async_record_lost(self._identity, target)
         if isinstance(event, SendFailed):
-            self._chooser.probes.note_failed(target, event.fault)
+            self._chooser.probes.record_failure(target, event.fault)
             is_lost = event.fault is SendFault.LOST
             return (self._judge() if is_lost else None) or self._hear(event)
         return self._hear(event) if event is not None else None
@@ -262,7 +262,7 @@
             evidence = Evidence.ANSWERED
         elif stream.status >= STATUS_FAILURES:
             evidence = Evidence.FAILED
-        self._chooser.probes.note(target, evidence)
+        self._chooser.probes.record(target, evidence)
 
     def _log_failed(
         self, target: RegisteredTarget, event: SendFailed, err: Exception
@@ -285,7 +285,7 @@
                 self._watch = self._build_watch(choice.plan)
                 await stack.enter_async_context(self._watch)
                 note_reading = partial(self._note_reading, choice, self._watch)
-                stack.enter_context(self._chooser.watch_readings(choice, note_reading))
+                stack.enter_context(self._chooser.watch_prefills(choice, note_reading))
             stream = await stack.enter_async_context(
                 async_open_http(
                     target.address,
@@ -300,7 +300,7 @@
             )
             return await self._async_take_answer(choice, stream)
 
-    def _build_watch(self, plan: ReadingPlan) -> SilenceWatch:
+    def _build_watch(self, plan: ReadingPlan) -> IdleTimeout:
         aim = max(self._route.aim_seconds, c.SILENCE_MIN_FIRST_SECONDS)
         pause = c.SILENCE_PAUSE_FACTOR * self._route.pause_aim_seconds
 
@@ -323,18 +323,18 @@
             # Nobody else may be there. Symptom: a request that waits at a busy engine
             # is left, has nowhere to go, and its caller hears that it may have run.
             need = self._placer.build_need()
-            return may_send and self._chooser.find_instead(need) is not None
+            return may_send and self._chooser.find_alternative(need) is not None
 
-        return SilenceWatch(
+        return IdleTimeout(
             c.SILENCE_FIRST_EVENT_FACTOR * plan.first_event_seconds + aim,
             max(pause, c.SILENCE_MIN_PAUSE_SECONDS),
             may_leave,
             c.OVERDUE_FACTOR * plan.first_event_seconds + c.OVERDUE_MARGIN_SECONDS,
-            self._mover.leaves_overdue,
+            self._mover.try_move_overdue,
         )
 
     def _note_reading(
-        self, choice: SendChoice, watch: SilenceWatch, work: EngineWork
+        self, choice: SendChoice, watch: IdleTimeout, work: EngineWork
     ) -> None:
         self._observer.note_reading(work.reading_seconds)
         self._mover.consider(choice, watch, work)
@@ -350,7 +350,7 @@
         if self._context.account is not None:
             ours[names.account] = self._context.account.name
         if choice.helpers:
-            ours[names.helpers] = choice.helper_list
+            ours[names.helpers] = choice.helpers_header
         if effect.last_id is not None:
             ours[names.last_event_id] = str(effect.last_id)
         stripped = (names.caller_key, names.account, names.priority, names.helpers)
@@ -361,16 +361,16 @@
     ) -> ExchangeEvent | None:
         names = self._state.headers
         self._note_head(choice.target, stream)
-        self._chooser.note_load(choice.target, stream.headers.get(names.load))
+        self._chooser.record_load(choice.target, stream.headers.get(names.load))
         limit = stream.headers.get(names.limit)
         is_refusal = self._head.is_refusal(stream)
         # A refusal may leave the limit out, or come from another boot at the address.
         if limit is not None or not is_refusal:
-            self._chooser.note_limit(choice.target, limit)
+            self._chooser.record_limit(choice.target, limit)
         if is_refusal:
             at_fault = stream.headers.get(names.at_target)
             is_helpers_fault = at_fault is not None and (
-                self._chooser.probes.note_named(choice.helpers, at_fault)
+                self._chooser.probes.record_reported_fault(choice.helpers, at_fault)
             )
             self._observer.note_failure(
                 "send_refused",
@@ -394,7 +394,7 @@
         headers = build_answer_headers(stream.raw_headers, has_body)
         self._answer = (stream.status, headers, body)
         if stream.status < STATUS_FAILURES:
-            self._chooser.probes.note(choice.target, Evidence.ANSWERED)
+            self._chooser.probes.record(choice.target, Evidence.ANSWERED)
             self._suspects.note_answered(self._identity)
         return TargetAnswered(is_failure=stream.status >= STATUS_FAILURES)
 
@@ -431,7 +431,7 @@
     def _note_events(self, choice: SendChoice, events: int) -> None:
         if not choice.has_events:
             choice.has_events = True
-            self._chooser.probes.note(choice.target, Evidence.ANSWERED)
+            self._chooser.probes.record(choice.target, Evidence.ANSWERED)
         self._chooser.note_events(choice, events)
 
     async def _async_give_events(
--- a/libraries/gateway/tarragonward_gateway/state.py
+++ b/libraries/gateway/tarragonward_gateway/state.py
@@ -52,7 +52,7 @@
             bounds.retry_share, bounds.retry_slack, bounds.retry_window_seconds
         )
 
-    def get_connection_share(self, service: str) -> int | None:
+    def get_connection_limit(self, service: str) -> int | None:
         """Return how many connections this host may have to a target of a service."""
         found = self.table.services.get(service) if self.table is not None else None
         if found is None:
@@ -77,7 +77,7 @@
         self.budget.record_retry(service, self.count_sharing_hosts(), now)
         return now
 
-    def put_in_force(self, table: RoutingTable) -> bool:
+    def install_table(self, table: RoutingTable) -> bool:
         """Put a table in force unless a newer one is; return whether it was."""
         if self.table is not None and table.version <= self.table.version:
             return False
--- a/libraries/gateway/tarragonward_gateway/suspect_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_gossip.py
@@ -16,15 +16,15 @@
 from tarragonward_requests.const import RUN_ALONE_AFTER_CRASHES
 
 from . import const as c
-from .turns import Turn
+from .turns import Rotation
 
-__all__ = ["SuspectGossip", "SuspectNews", "choose_keepers"]
+__all__ = ["SuspectGossip", "SuspectMessage", "choose_aggregators"]
 
 RANK_BYTES = 8
 
 
 @dataclass(frozen=True)
-class SuspectNews:
+class SuspectMessage:
     """Tell these hosts of these requests now."""
 
     hosts: tuple[Address, ...]
@@ -47,7 +47,7 @@
         self._members = members
         self._random = rng
         self._due: dict[bytes, float] = {}
-        self._turn = Turn()
+        self._turn = Rotation()
 
     @property
     def due_at(self) -> float | None:
@@ -60,7 +60,7 @@
         """Note that the others should hear of a request, together with others."""
         self._due.setdefault(fingerprint, now + delay)
 
-    def take_due(self, now: float) -> list[SuspectNews]:
+    def take_due(self, now: float) -> list[SuspectMessage]:
         """Return what is to be told now."""
         by_hosts: dict[tuple[Address, ...], list[bytes]] = defaultdict(list)
         for fingerprint in [f for f, due_at in self._due.items() if due_at <= now]:
@@ -68,7 +68,7 @@
             by_hosts[self._choose_told(fingerprint)].append(fingerprint)
         size = c.MAX_SUSPECTS_PER_MESSAGE
         return [
-            SuspectNews(hosts, tuple(told[start : start + size]))
+            SuspectMessage(hosts, tuple(told[start : start + size]))
             for hosts, told in by_hosts.items()
             for start in range(0, len(told), size)
         ]
@@ -78,7 +78,7 @@
         entries = (self._ledger.build_entry(each, now) for each in fingerprints)
         return [entry.pack() for entry in entries if entry is not None]
 
-    def choose_in_turn(self) -> list[bytes]:
+    def choose_next(self) -> list[bytes]:
         """Return a few of those that all should know, others at each call."""
         known = [
             fingerprint
@@ -103,7 +103,7 @@
         is_for_all = suspect is None or len(suspect.crashes) >= RUN_ALONE_AFTER_CRASHES
         if is_for_all or len(peers) <= MAX_MESH_PEERS:
             return tuple(peer.identity.address for peer in peers)
-        return choose_keepers(fingerprint, peers)
+        return choose_aggregators(fingerprint, peers)
 
     def _knows_no_more(self, entry: SuspectEntry) -> bool:
         """Return whether all that this host knows of a request was just told."""
@@ -111,7 +111,7 @@
         return suspect is not None and set(entry.crashes).issuperset(suspect.crashes)
 
 
-def choose_keepers(
+def choose_aggregators(
     fingerprint: bytes, peers: Iterable[SeedPeer]
 ) -> tuple[Address, ...]:
     """Return the hosts, some of each failure domain, that hear of a first crash.
--- a/libraries/gateway/tarragonward_gateway/suspect_task.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_task.py
@@ -13,7 +13,7 @@
 from .peers import Peers
 from .state import GatewayState
 from .suspect_gossip import SuspectGossip
-from .suspects import SuspectWatch
+from .suspects import SuspectMonitor
 
 __all__ = ["SECTION", "SuspectTask"]
 
@@ -25,7 +25,7 @@
     """The part of the hosts' datagrams that is about suspects."""
 
     def __init__(
-        self, state: GatewayState, peers: Peers, suspects: SuspectWatch
+        self, state: GatewayState, peers: Peers, suspects: SuspectMonitor
     ) -> None:
         self._peers = peers
         self._ledger = suspects.ledger
@@ -33,7 +33,7 @@
         self._background = BackgroundTasks(state.metrics)
         self._timer: asyncio.TimerHandle | None = None
         self._telling: Iterable[bytes] = ()
-        suspects.on_news.append(self._note_changed)
+        suspects.on_change.append(self._note_changed)
         suspects.is_isolated = lambda: peers.members.is_isolated
         peers.add_section(SECTION, self._build, self._take)
 
@@ -74,7 +74,7 @@
         self._arm()
 
     def _build(self) -> list[Any] | None:
-        told = self._telling or self._gossip.choose_in_turn()
+        told = self._telling or self._gossip.choose_next()
         return self._gossip.build(told, read_clock()) or None
 
     def _take(self, host: str, data: Any, age: float) -> None:
--- a/libraries/gateway/tarragonward_gateway/suspects.py
+++ b/libraries/gateway/tarragonward_gateway/suspects.py
@@ -14,10 +14,10 @@
 from tarragonward_wire import HttpRequest
 
 from .clock import read_clock
-from .probes import TargetProbes
+from .probes import TargetProber
 from .state import GatewayState
 
-__all__ = ["RequestIdentity", "SuspectWatch"]
+__all__ = ["RequestIdentity", "SuspectMonitor"]
 
 HOST = "host"
 
@@ -43,14 +43,14 @@
         )
 
 
-class SuspectWatch:
+class SuspectMonitor:
     """The ledger of one host; on_news is called with what other hosts should hear."""
 
-    def __init__(self, state: GatewayState, probes: TargetProbes) -> None:
+    def __init__(self, state: GatewayState, probes: TargetProber) -> None:
         self.ledger = SuspectTracker()
         # Whether this host hears none of the others.
         self.is_isolated: Callable[[], bool] = lambda: False
-        self.on_news: list[Callable[[bytes], None]] = []
+        self.on_change: list[Callable[[bytes], None]] = []
         self._state = state
         self._probes = probes
 
@@ -66,7 +66,7 @@
         fingerprint, is_isolated = identity.fingerprint, self.is_isolated()
         return self.ledger.get_wait_seconds(fingerprint, read_clock(), is_isolated)
 
-    async def async_note_lost(
+    async def async_record_lost(
         self, identity: RequestIdentity, target: RegisteredTarget
     ) -> None:
         """Note that a request's connection was lost, if the target has ended."""
@@ -101,7 +101,7 @@
         self.ledger.record_refused(identity.fingerprint, read_clock())
 
     @contextmanager
-    def trial(self, identity: RequestIdentity) -> Iterator[None]:
+    def isolated_attempt(self, identity: RequestIdentity) -> Iterator[None]:
         """Let the other hosts know that this one tries a request."""
         fingerprint = identity.fingerprint
         self.ledger.begin_trial(fingerprint, read_clock())
@@ -135,5 +135,5 @@
         return sorted(known, key=lambda one: -one["targets_ended"])
 
     def _tell(self, fingerprint: bytes) -> None:
-        for notify in self.on_news:
+        for notify in self.on_change:
             notify(fingerprint)
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -31,7 +31,7 @@
 from . import const as c
 from .clock import read_clock
 from .headers import parse_count, parse_rate
-from .probes import TargetProbes
+from .probes import TargetProber
 from .state import GatewayState
 
 __all__ = ["SECTION", "SendChoice", "TargetChooser", "TargetNeed"]
@@ -97,7 +97,7 @@
         return self.work.placed_at + self.plan.first_event_seconds
 
     @property
-    def helper_list(self) -> str:
+    def helpers_header(self) -> str:
         """Return the helpers as they are told to the target."""
         assert self.plan is not None
         tickets = self.plan.tickets
@@ -133,7 +133,7 @@
         self.on_limit: list[Callable[[int], None]] = []
         self.get_host_view: Callable[[], HostView] = lambda: ALONE
         self.reach = TargetHealthTracker()
-        self.probes = TargetProbes(state, self.reach)
+        self.probes = TargetProber(state, self.reach)
 
     def build_digest(self) -> dict[str, list[Any]]:
         """Return this host's prompts in flight, to be told to the other hosts."""
@@ -165,7 +165,7 @@
         ]
         return min(*waits, MAX_LIMIT_WAIT_SECONDS) if waits else None
 
-    def find_instead(self, need: TargetNeed) -> SendChoice | None:
+    def find_alternative(self, need: TargetNeed) -> SendChoice | None:
         """Return where a request that a target has already would go in its place.
 
         What is in doubt is the idlest by all that is known. Symptom, where it counts: a
@@ -242,7 +242,7 @@
         return [min(ready, key=count)]
 
     @contextmanager
-    def hold_alone(self, target: RegisteredTarget) -> Iterator[None]:
+    def isolate_target(self, target: RegisteredTarget) -> Iterator[None]:
         """Keep this host's other requests off a target, while there are others."""
         self._kept_clear[target.id] += 1
         try:
@@ -256,11 +256,11 @@
         # A target resets connections beyond those that it takes from all hosts
         # together. Symptom: a request is lost, and may have run. Each send has one
         # connection, so a host that keeps to its part of them meets no reset.
-        limit = self._state.get_connection_share(target.service)
+        limit = self._state.get_connection_limit(target.service)
         return limit is None or self._in_flight[target.id] < limit
 
     @contextmanager
-    def hold(self, choice: SendChoice) -> Iterator[None]:
+    def track_in_flight(self, choice: SendChoice) -> Iterator[None]:
         """Count a request on its targets until it ends."""
         target = choice.target
         self._in_flight[target.id] += 1
@@ -276,7 +276,7 @@
                 del self._in_flight[target.id]
 
     @contextmanager
-    def watch_readings(
+    def watch_prefills(
         self, choice: SendChoice, note_reading: Callable[[EngineWork], None]
     ) -> Iterator[None]:
         """Call back each time that the target is known to read for long."""
@@ -308,14 +308,14 @@
         """Note that a target has no memory for a reservation."""
         self.book.note_full(target_id, self._clock())
 
-    def note_load(self, target: RegisteredTarget, text: str | None) -> None:
+    def record_load(self, target: RegisteredTarget, text: str | None) -> None:
         """Take the load that a target tells with its answer."""
         counts = [parse_count(part) for part in (text or "").split(LOAD_SEPARATOR)]
         if len(counts) != LOAD_FIELDS or counts[0] is None or counts[1] is None:
             return
         self.book.note_count(target.id, counts[0] + counts[1], self._clock())
 
-    def note_limit(self, target: RegisteredTarget, text: str | None) -> None:
+    def record_limit(self, target: RegisteredTarget, text: str | None) -> None:
         """Take the requests a second that a target names with its answer, if any."""
         number, rate = hash_name(target.id), parse_rate(text)
         if self.limits.note_named(number, rate, read_clock()):
@@ -342,7 +342,7 @@
             return ready
         return [target for target in ready if target.id in cell.engines] or ready
 
-    def looks_beyond_cell(self, service: str) -> bool:
+    def allows_cross_cell(self, service: str) -> bool:
         """Return whether prompts of a service may go to engines of other cells.
 
         In a very large fleet cells have enough of them, and a plan among all, and word
@@ -357,7 +357,7 @@
             return None
         summary: dict[str, list[Any]] = {}
         for service in table.services.values():
-            if service.engine is None or not self.looks_beyond_cell(service.name):
+            if service.engine is None or not self.allows_cross_cell(service.name):
                 continue
             cell = self.get_cell(service.name)
             if not cell.is_whole:
@@ -397,7 +397,7 @@
             )
 
         plan = plan_among(near)
-        if len(near) < len(by_id) and self.looks_beyond_cell(need.service):
+        if len(near) < len(by_id) and self.allows_cross_cell(need.service):
             plan = widen_plan(plan, prompt, lambda: plan_among(by_id))
         if plan is not None and any(map(self._is_limited, plan.readers[1:])):
             # A part that is read for another target is work that its limit leaves out.
--- a/libraries/gateway/tarragonward_gateway/turns.py
+++ b/libraries/gateway/tarragonward_gateway/turns.py
@@ -5,12 +5,12 @@
 from collections.abc import Sequence
 from typing import TypeVar
 
-__all__ = ["Turn"]
+__all__ = ["Rotation"]
 
 Item = TypeVar("Item")
 
 
-class Turn:
+class Rotation:
     """The place up to which things were told; what comes and goes may shift it."""
 
     def __init__(self) -> None:
--- a/libraries/gateway/tests/conftest.py
+++ b/libraries/gateway/tests/conftest.py
@@ -110,7 +110,7 @@
             {"k1": Account("town")},
             needs_key=True,
         )
-        self.state.put_in_force(table)
+        self.state.install_table(table)
         self.server.limits = _build_limits(table.limits)
 
     async def async_add(self, script, **options):
--- a/libraries/gateway/tests/test_app.py
+++ b/libraries/gateway/tests/test_app.py
@@ -84,7 +84,7 @@
         target = ScriptedTarget(script, "t0")
         await target.async_setup()
         state = self.gateway.state
-        state.put_in_force(TABLE)
+        state.install_table(TABLE)
         self.gateway._apply_limits()
         state.registry.apply(
             RegisteredTarget("t0", "s", target.address, "d1", 8, True, 1)
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -27,7 +27,7 @@
     """Return a chooser, its gossip, and what it told to whom."""
     monkeypatch.setattr(cell_gossip, "MAX_MESH_PEERS", 1)
     state = build_peer_state(0)
-    state.put_in_force(
+    state.install_table(
         RoutingTable(
             1, (), {"s": Service("s", 9, engine=ENGINE)}, CallerLimits(), {}, False
         )
--- a/libraries/gateway/tests/test_crashes.py
+++ b/libraries/gateway/tests/test_crashes.py
@@ -86,8 +86,8 @@
     need = TargetNeed("s", site.state.table.routes[0], 0.0)
     with ExitStack() as stack:
         for _ in range(2):
-            stack.enter_context(chooser.hold(chooser.choose(need)))
+            stack.enter_context(chooser.track_in_flight(chooser.choose(need)))
         alone = chooser.choose(replace(need, is_suspect=True)).target
         assert alone is site.state.registry.get_ready("s")[2]
-        stack.enter_context(chooser.hold_alone(alone))
+        stack.enter_context(chooser.isolate_target(alone))
         assert chooser.choose(need).target is not alone
--- a/libraries/gateway/tests/test_following.py
+++ b/libraries/gateway/tests/test_following.py
@@ -22,7 +22,7 @@
     Unconfirmed,
     Watch,
 )
-from tarragonward_gateway.readers import Place
+from tarragonward_gateway.polling import PollingOrder
 from tarragonward_gateway.record_exchange import pack_age, unpack_age
 
 HOSTS = 9
@@ -41,20 +41,22 @@
 
 
 def test_all_is_read_first_and_after_lost_history(follower):
-    assert follower.choose_step(Place(HOSTS, 0), NO_AGE, 0.0) == ReadAll()
+    assert follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.0) == ReadAll()
     follower.hear(SourceAnswered(False), 10, HOSTS, 0.1)
-    assert isinstance(follower.choose_step(Place(HOSTS, 0), NO_AGE, 0.1), Watch)
+    assert isinstance(follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.1), Watch)
     follower.hear(HistoryLost(), 10, HOSTS, 0.2)
-    assert follower.choose_step(Place(HOSTS, 0), NO_AGE, 0.2) == ReadAll()
+    assert follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.2) == ReadAll()
 
 
 def test_more_hosts_wait_longer_each(watching):
     watching.hear(SourceAnswered(False), 10, HOSTS, 1.0)
-    assert watching.choose_step(Place(1, 0), NO_AGE, 1.0) == Watch(c.MIN_WATCH_SECONDS)
-    assert watching.choose_step(Place(HOSTS, 3), NO_AGE, 1.0) == Watch(
+    assert watching.choose_step(PollingOrder(1, 0), NO_AGE, 1.0) == Watch(
+        c.MIN_WATCH_SECONDS
+    )
+    assert watching.choose_step(PollingOrder(HOSTS, 3), NO_AGE, 1.0) == Watch(
         HOSTS * c.WATCH_STAGGER_SECONDS
     )
-    assert watching.choose_step(Place(320, 9), NO_AGE, 1.0) == Watch(
+    assert watching.choose_step(PollingOrder(320, 9), NO_AGE, 1.0) == Watch(
         c.MAX_WATCH_SECONDS
     )
 
@@ -67,7 +69,8 @@
     """
     follower.hear(SourceAnswered(True), 10, HOSTS, 1.0)
     steps = [
-        follower.choose_step(Place(HOSTS, rank), NO_AGE, 2.0) for rank in range(HOSTS)
+        follower.choose_step(PollingOrder(HOSTS, rank), NO_AGE, 2.0)
+        for rank in range(HOSTS)
     ]
     ends = [step.seconds for step in steps]
     slots = [c.WATCH_STAGGER_SECONDS * (rank + 1) for rank in range(HOSTS)]
@@ -76,10 +79,10 @@
 
 def test_changes_in_a_crowd_are_fetched_together(watching):
     watching.hear(SourceAnswered(True), 11, HOSTS, 2.0)
-    step = watching.choose_step(Place(HOSTS, 0), NO_AGE, 2.0)
+    step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0)
     assert step.seconds == pytest.approx(c.CHANGE_DELAY_SECONDS)
     watching.hear(SourceAnswered(True), 12, HOSTS, 2.5)
-    step = watching.choose_step(Place(HOSTS, 0), NO_AGE, 2.5)
+    step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.5)
     assert step.seconds == pytest.approx(c.CHANGE_BURST_DELAY_SECONDS)
 
 
@@ -105,14 +108,14 @@
     is in no history, and shows only when the next one comes.
     """
     watching.hear(SourceFailed(), 10, HOSTS, 2.0)
-    assert watching.choose_step(Place(HOSTS, 0), NO_AGE, 9.0) == ReadAll()
+    assert watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 9.0) == ReadAll()
 
 
 def test_all_is_read_after_an_answer_that_passes_over_a_change(watching):
     watching.hear(SourceAnswered(False, is_gap=True), 12, HOSTS, 2.0)
-    assert watching.choose_step(Place(HOSTS, 0), NO_AGE, 2.0) == ReadAll()
+    assert watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0) == ReadAll()
     watching.hear(SourceAnswered(False), 12, HOSTS, 2.1)
-    assert isinstance(watching.choose_step(Place(HOSTS, 0), NO_AGE, 2.1), Watch)
+    assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.1), Watch)
 
 
 def test_a_change_that_its_own_watch_brings_asks_nobody(watching):
@@ -132,7 +135,9 @@
     follower.hear(SourceFailed(), 0, HOSTS, 0.5)
     told = PeerTold("peer", 12, float("inf"))
     assert follower.hear(told, 0, HOSTS, 0.6) == [AskPeer("peer")]
-    assert isinstance(follower.choose_step(Place(HOSTS, 0), NO_AGE, 9.0), ReadAll)
+    assert isinstance(
+        follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 9.0), ReadAll
+    )
 
 
 def test_after_a_watch_that_was_cut_all_is_read_anew(watching):
@@ -144,11 +149,11 @@
     """
     watching.hear(SourceFailed(), 10, HOSTS, 2.0)
     step = watching.choose_step(
-        Place(HOSTS, 0), NO_AGE, 2.0 + c.SOURCE_RETRY_FIRST_SECONDS
+        PollingOrder(HOSTS, 0), NO_AGE, 2.0 + c.SOURCE_RETRY_FIRST_SECONDS
     )
     assert step == ReadAll()
     watching.hear(SourceAnswered(True), 14, HOSTS, 2.1)
-    assert isinstance(watching.choose_step(Place(HOSTS, 0), NO_AGE, 3.0), Watch)
+    assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 3.0), Watch)
 
 
 def test_a_host_that_starts_beside_a_silent_source_is_not_held_up(follower):
@@ -188,14 +193,14 @@
     now = 2.0
     for _ in range(10):
         watching.hear(SourceFailed(), 10, HOSTS, now)
-        step = watching.choose_step(Place(HOSTS, 0), NO_AGE, now)
+        step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, now)
         now += step.seconds
     assert step.seconds > 1.3
     lone = Follower(random.Random(1), 0.0)
     for _ in range(10):
         lone.hear(SourceFailed(), 0, HOSTS, 2.0)
     assert (
-        lone.choose_step(Place(HOSTS, 0), NO_AGE, 2.0).seconds
+        lone.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0).seconds
         <= c.SOURCE_RETRY_MAX_SECONDS
     )
 
@@ -206,7 +211,7 @@
         watching.hear(SourceFailed(), 10, HOSTS, 4.0)
     effects = watching.hear(PeerTold("peer", 10, 0.2), 10, HOSTS, 4.5)
     assert AskSource() in effects
-    step = watching.choose_step(Place(HOSTS, 0), NO_AGE, 4.5)
+    step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 4.5)
     assert not isinstance(step, Pause) or step.seconds <= c.RECOVERY_SPREAD_SECONDS
     again = watching.hear(PeerTold("peer", 10, 0.1), 10, HOSTS, 4.6)
     assert AskSource() not in again
@@ -243,9 +248,9 @@
     touch, it took the withdrawal for a lapse of an outage, and used the target on.
     """
     for now in (2.0, 3.0, 4.0, 5.0):
-        watching.choose_step(Place(HOSTS, 0), 1.5, now)
+        watching.choose_step(PollingOrder(HOSTS, 0), 1.5, now)
         watching.hear(SourceFailed(), 10, HOSTS, now)
-    watching.choose_step(Place(HOSTS, 0), 1.5, 6.0)
+    watching.choose_step(PollingOrder(HOSTS, 0), 1.5, 6.0)
     watching.hear(SourceAnswered(False), 10, HOSTS, 6.1)
     assert not watching.is_after_outage(6.1)
 
@@ -258,20 +263,20 @@
     and while it gives, this host does not ask the source.
     """
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
-    step = follower.choose_step(Place(3, 0), NO_AGE, 0.0)
+    step = follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.0)
     assert step == Pause(c.SEED_ANSWER_SECONDS)
     follower.hear(PeerTold("seed", 0, float("inf")), 0, 3, 0.01)
-    step = follower.choose_step(Place(3, 0), NO_AGE, 0.05)
+    step = follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.05)
     assert step.seconds == pytest.approx(c.START_WAIT_SECONDS - 0.05)
     told = PeerTold("seed", 12, 0.0)
     assert AskPeer("seed") in follower.hear(told, 0, 3, 0.1)
-    assert isinstance(follower.choose_step(Place(3, 0), NO_AGE, 0.3), Pause)
+    assert isinstance(follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.3), Pause)
 
 
 def test_a_host_that_starts_before_all_seeds_does_not_wait_for_them():
     """All hosts lost power, the seeds start last; callers are refused meanwhile."""
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
-    step = follower.choose_step(Place(1, 0), NO_AGE, c.SEED_ANSWER_SECONDS)
+    step = follower.choose_step(PollingOrder(1, 0), NO_AGE, c.SEED_ANSWER_SECONDS)
     assert step == ReadAll()
 
 
@@ -285,10 +290,10 @@
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     follower.hear(PeerTold("seed", 12, 0.0), 0, 3, 0.1)
     follower.hear(PeerGave(), 12, 3, 0.2)
-    step = follower.choose_step(Place(3, 0), NO_AGE, 1.0)
+    step = follower.choose_step(PollingOrder(3, 0), NO_AGE, 1.0)
     assert step == Watch(c.STANDBY_WATCH_SECONDS)
     follower.hear(SourceAnswered(False), 12, 3, 1.1)
-    later = follower.choose_step(Place(3, 0), NO_AGE, 1.1)
+    later = follower.choose_step(PollingOrder(3, 0), NO_AGE, 1.1)
     assert isinstance(later, Watch) and later.seconds > c.STANDBY_WATCH_SECONDS
 
 
@@ -302,7 +307,7 @@
     for name in ("seed", "fed"):
         follower.hear(PeerTold(name, 12, 0.0), 0, 195, 0.1)
     assert follower.hear(PeerRefused("seed"), 0, 195, 0.15) == [AskPeer("fed")]
-    assert isinstance(follower.choose_step(Place(195, 0), NO_AGE, 0.5), Pause)
+    assert isinstance(follower.choose_step(PollingOrder(195, 0), NO_AGE, 0.5), Pause)
     assert follower.hear(PeerRefused("fed"), 12, 195, 0.2) == []
 
 
@@ -324,13 +329,16 @@
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     follower.hear(PeerGave(), 12, 3, 0.2)
     follower.hear(event, 12, 3, 1.1)
-    assert follower.choose_step(Place(3, 0), NO_AGE, 9.0) == ReadAll()
+    assert follower.choose_step(PollingOrder(3, 0), NO_AGE, 9.0) == ReadAll()
 
 
 def test_a_host_that_starts_alone_reads_by_itself():
     """The seeds are dead or cut off; nobody tells anything, and the wait is short."""
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
-    assert follower.choose_step(Place(1, 0), NO_AGE, c.START_WAIT_SECONDS) == ReadAll()
+    assert (
+        follower.choose_step(PollingOrder(1, 0), NO_AGE, c.START_WAIT_SECONDS)
+        == ReadAll()
+    )
 
 
 def test_peers_that_tell_much_and_give_nothing_hold_up_no_start():
@@ -339,7 +347,8 @@
     for turn in range(40):
         follower.hear(PeerTold("busy", 12, 0.0), 0, 3, 0.1 * turn)
     assert (
-        follower.choose_step(Place(3, 0), NO_AGE, c.MAX_START_WAIT_SECONDS) == ReadAll()
+        follower.choose_step(PollingOrder(3, 0), NO_AGE, c.MAX_START_WAIT_SECONDS)
+        == ReadAll()
     )
 
 
@@ -348,7 +357,7 @@
         follower.hear(SourceFailed(), 0, HOSTS, 1.0)
     follower.hear(PageRead(), 0, HOSTS, 3.0)
     follower.hear(SourceFailed(), 0, HOSTS, 3.1)
-    step = follower.choose_step(Place(HOSTS, 0), NO_AGE, 3.1)
+    step = follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 3.1)
     assert step.seconds <= c.SOURCE_RETRY_FIRST_SECONDS
 
 
@@ -377,15 +386,15 @@
     The watches of all hosts in reach got no answer while the source was silent to
     them, and will get none; it answers again, but each host waits for its watch's end.
     """
-    watching.choose_step(Place(HOSTS, 0), NO_AGE, 1.0)
+    watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 1.0)
     assert watching.hear(Unconfirmed(c.MAX_CONFIRMED_AGE_SECONDS), 10, HOSTS, 3.0) == []
     late = Unconfirmed(c.MAX_CONFIRMED_AGE_SECONDS + 0.1)
     assert watching.hear(late, 10, HOSTS, 3.3) == [AskSource()]
-    assert watching.choose_step(Place(HOSTS, 0), 2.3, 3.3) == ReadAll()
+    assert watching.choose_step(PollingOrder(HOSTS, 0), 2.3, 3.3) == ReadAll()
     assert watching.hear(late, 10, HOSTS, 3.4) == []
 
 
 def test_a_source_that_fails_is_not_asked_sooner_as_nobody_confirms(watching):
     watching.hear(SourceFailed(), 10, HOSTS, 2.0)
-    assert isinstance(watching.choose_step(Place(HOSTS, 0), 9.0, 2.0), Pause)
+    assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), 9.0, 2.0), Pause)
     assert watching.hear(Unconfirmed(9.0), 10, HOSTS, 2.0) == []
--- a/libraries/gateway/tests/test_silence.py
+++ b/libraries/gateway/tests/test_idle_timeout.py
@@ -5,8 +5,8 @@
 import pytest
 
 from tarragonward_gateway import const as c
-from tarragonward_gateway.silence import (
-    SilenceWatch,
+from tarragonward_gateway.idle_timeout import (
+    IdleTimeout,
     StreamMovedError,
     TargetSilentError,
 )
@@ -14,13 +14,13 @@
 
 async def test_silent_target_is_left():
     with pytest.raises(TargetSilentError):
-        async with SilenceWatch(0.01, 1.0, lambda: True):
+        async with IdleTimeout(0.01, 1.0, lambda: True):
             await asyncio.Event().wait()
 
 
 async def test_pause_within_a_stream_is_bounded_too():
     with pytest.raises(TargetSilentError):
-        async with SilenceWatch(5.0, 0.01, lambda: True) as watch:
+        async with IdleTimeout(5.0, 0.01, lambda: True) as watch:
             watch.pause()
             watch.resume()
             await asyncio.Event().wait()
@@ -35,7 +35,7 @@
         asked.append(1)
         return False
 
-    async with SilenceWatch(0.01, 0.01, may_leave):
+    async with IdleTimeout(0.01, 0.01, may_leave):
         async with asyncio.timeout(5):
             while len(asked) < 3:
                 await asyncio.sleep(0.005)
@@ -44,7 +44,7 @@
 async def test_an_overdue_target_is_left_for_one_that_would_be_in_time():
     """It is not silent yet, so it is not to blame; the prompt waits there unread."""
     with pytest.raises(StreamMovedError):
-        async with SilenceWatch(5.0, 5.0, lambda: True, 0.01, lambda: True):
+        async with IdleTimeout(5.0, 5.0, lambda: True, 0.01, lambda: True):
             await asyncio.Event().wait()
 
 
@@ -52,13 +52,13 @@
     """A second read of the prompt elsewhere would only come later still."""
     monkeypatch.setattr(c, "SILENCE_RECHECK_SECONDS", 0.01)
     with pytest.raises(TargetSilentError):
-        async with SilenceWatch(0.05, 5.0, lambda: True, 0.01, lambda: False):
+        async with IdleTimeout(0.05, 5.0, lambda: True, 0.01, lambda: False):
             await asyncio.Event().wait()
 
 
 async def test_time_in_which_the_caller_does_not_read_is_not_counted():
     """The target is not at fault while the caller's connection takes nothing."""
-    async with SilenceWatch(0.02, 0.02, lambda: True) as watch:
+    async with IdleTimeout(0.02, 0.02, lambda: True) as watch:
         watch.pause()
         await asyncio.sleep(0.06)
 
@@ -66,5 +66,5 @@
 async def test_end_of_the_request_is_not_taken_for_silence():
     """The request's own limit passes through; it has another answer."""
     with pytest.raises(TimeoutError):
-        async with asyncio.timeout(0.01), SilenceWatch(5.0, 5.0, lambda: True):
+        async with asyncio.timeout(0.01), IdleTimeout(5.0, 5.0, lambda: True):
             await asyncio.Event().wait()
--- a/libraries/gateway/tests/test_limits.py
+++ b/libraries/gateway/tests/test_limits.py
@@ -48,7 +48,7 @@
     answer = stream_events(range(1, 3))
     site = await make_engines(*[answer] * 4)
     limited = site.state.registry.get_ready("s")[3]
-    site.chooser.note_limit(limited, "50")
+    site.chooser.record_limit(limited, "50")
     assert (await site.async_ask_prompt("200000,46")).status == 200
     helpers = [
         seen.get("x-helper-engines") for target in site.targets for seen in target.seen
--- a/libraries/gateway/tests/test_moving.py
+++ b/libraries/gateway/tests/test_moving.py
@@ -40,7 +40,7 @@
     """Let all targets but one have failed to connect."""
     for target in site.state.registry.get_all():
         if target.id != target_id:
-            site.chooser.probes.note(target, Evidence.NOT_CONNECTED)
+            site.chooser.probes.record(target, Evidence.NOT_CONNECTED)
 
 
 def begin_stream(on_start):
--- a/libraries/gateway/tests/test_no_end.py
+++ b/libraries/gateway/tests/test_no_end.py
@@ -9,8 +9,8 @@
 from tarragonward_core import Address, background
 from tarragonward_gateway import HeaderNames, Paths
 from tarragonward_gateway.peers import Peers
+from tarragonward_gateway.polling import PollingOrder
 from tarragonward_gateway.publications import PublicationTask
-from tarragonward_gateway.readers import Place
 from tarragonward_gateway.settings import Bounds, GatewaySettings
 from tarragonward_gateway.state import GatewayState
 from tarragonward_placement import Evidence
@@ -52,7 +52,9 @@
     """
     monkeypatch.setattr(background, "RESTART_SECONDS", 0.05)
     state, reader = make_state(), FaultyReader()
-    task = PublicationTask(state, reader, None, Peers(state), lambda: Place(1, 0))
+    task = PublicationTask(
+        state, reader, None, Peers(state), lambda: PollingOrder(1, 0)
+    )
     await task.async_setup()
     async with asyncio.timeout(5):
         while reader.asked < 3:
@@ -137,7 +139,7 @@
     site = await make_site(answer_with(), answer_with())
     site.chooser._choose_among = lambda ready, need: None
     resting = site.state.registry.get_ready("s")[0]
-    site.chooser.probes.note(resting, Evidence.NOT_CONNECTED)
+    site.chooser.probes.record(resting, Evidence.NOT_CONNECTED)
     answer = await site.async_ask()
     assert answer.status == 503
     assert not site.runs
--- a/libraries/gateway/tests/test_reading.py
+++ b/libraries/gateway/tests/test_paged_read.py
@@ -2,7 +2,7 @@
 
 from tarragonward_gateway import Page, Record
 from tarragonward_gateway import const as c
-from tarragonward_gateway.reading import WholeReading
+from tarragonward_gateway.paged_read import PagedRead
 
 
 def make_page(key, revision, next_after=None):
@@ -10,10 +10,10 @@
 
 
 def test_reading_counts_as_of_its_first_page():
-    reading = WholeReading()
-    assert reading.choose_after(1.0) == ""
+    reading = PagedRead()
+    assert reading.get_after_key(1.0) == ""
     assert reading.take(make_page("a", 5, "a"), 1.0) is None
-    assert reading.choose_after(1.5) == "a"
+    assert reading.get_after_key(1.5) == "a"
     read = reading.take(make_page("b", 9), 1.5)
     assert [record.key for record in read.records] == ["a", "b"]
     assert read.revision == 5
@@ -26,9 +26,9 @@
     A host that has read one page is refused the second, asks again, and must get
     the second, not the first: else few hosts ever come to the last.
     """
-    reading = WholeReading()
+    reading = PagedRead()
     reading.take(make_page("a", 5, "a"), 1.0)
-    assert reading.choose_after(1.0 + c.MAX_PAGED_READ_AGE_SECONDS) == "a"
+    assert reading.get_after_key(1.0 + c.MAX_PAGED_READ_AGE_SECONDS) == "a"
 
 
 def test_reading_that_grew_old_is_begun_anew():
@@ -37,11 +37,11 @@
     What changed after the first page could no longer be told, so pages of then are
     worth nothing; nor are they after the source said that its history is gone.
     """
-    reading = WholeReading()
+    reading = PagedRead()
     reading.take(make_page("a", 5, "a"), 1.0)
-    assert reading.choose_after(1.1 + c.MAX_PAGED_READ_AGE_SECONDS) == ""
+    assert reading.get_after_key(1.1 + c.MAX_PAGED_READ_AGE_SECONDS) == ""
     read = reading.take(make_page("b", 7), 20.0)
     assert [record.key for record in read.records] == ["b"]
     reading.take(make_page("a", 8, "a"), 21.0)
     reading.clear()
-    assert reading.choose_after(21.0) == ""
+    assert reading.get_after_key(21.0) == ""
--- a/libraries/gateway/tests/test_readers.py
+++ b/libraries/gateway/tests/test_polling.py
@@ -16,13 +16,13 @@
     SourceFailed,
     Watch,
 )
-from tarragonward_gateway.readers import KnownHost, Place, choose_place
+from tarragonward_gateway.polling import KnownHost, PollingOrder, choose_polling_order
 from tarragonward_placement import Located
 from tarragonward_placement.const import MAX_SINGLE_CELL_HOSTS
 
 DOMAINS = ("a", "b", "c")
-FED = Place(18, 1, fed_rank=0, group=frozenset({"x"}))
-READER = Place(18, 1, group=frozenset({"x"}))
+FED = PollingOrder(18, 1, standby_rank=0, group=frozenset({"x"}))
+READER = PollingOrder(18, 1, group=frozenset({"x"}))
 
 
 def build_hosts(count):
@@ -32,7 +32,7 @@
 def choose_all(hosts, silent=()):
     known = [KnownHost(h, 60.0 if h.name in silent else 0.0) for h in hosts]
     return {
-        own.name: choose_place(own, [k for k in known if k.located != own])
+        own.name: choose_polling_order(own, [k for k in known if k.located != own])
         for own in hosts
     }
 
@@ -48,12 +48,12 @@
 def test_all_hosts_of_a_small_fleet_ask():
     places = choose_all(build_hosts(MAX_SINGLE_CELL_HOSTS)).values()
     assert {place.rank for place in places} == set(range(MAX_SINGLE_CELL_HOSTS))
-    assert all(place.fed_rank is None for place in places)
+    assert all(place.standby_rank is None for place in places)
 
 
 def test_two_hosts_of_each_group_ask_in_turn():
     places = choose_all(build_hosts(75))
-    readers = [place for place in places.values() if place.fed_rank is None]
+    readers = [place for place in places.values() if place.standby_rank is None]
     groups = {place.group for place in places.values()}
     assert len(readers) == c.POLLERS_PER_GROUP * len(groups) == readers[0].hosts
     assert {place.rank for place in readers} == set(range(len(readers)))
@@ -63,9 +63,9 @@
 def test_a_reader_that_is_silent_is_replaced():
     hosts = build_hosts(75)
     before = choose_all(hosts)
-    dead = {name for name, place in before.items() if place.fed_rank is None}
+    dead = {name for name, place in before.items() if place.standby_rank is None}
     after = choose_all(hosts, silent=dead)
-    again = [n for n, p in after.items() if p.fed_rank is None and n not in dead]
+    again = [n for n, p in after.items() if p.standby_rank is None and n not in dead]
     assert len(again) == len(dead)
 
 
@@ -80,7 +80,7 @@
     assert fed.choose_step(FED, c.STANDBY_POLL_AGE_SECONDS, 3.0) == Watch(
         c.STANDBY_WATCH_SECONDS
     )
-    behind = Place(18, 1, fed_rank=4, group=FED.group)
+    behind = PollingOrder(18, 1, standby_rank=4, group=FED.group)
     assert isinstance(fed.choose_step(behind, c.STANDBY_POLL_AGE_SECONDS, 3.0), Pause)
 
 
@@ -108,7 +108,9 @@
     follower = Follower(random.Random(1), 0.0)
     follower.hear(SourceAnswered(True), 10, 75, 1.0)
     waits = [
-        follower.choose_step(Place(18, rank, group=READER.group), 0.0, 2.0).seconds
+        follower.choose_step(
+            PollingOrder(18, rank, group=READER.group), 0.0, 2.0
+        ).seconds
         for rank in range(18)
     ]
     slots = [c.POLLER_WATCH_STAGGER_SECONDS * (rank + 1) for rank in range(18)]
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -8,7 +8,7 @@
 from tarragonward_gateway import GatewaySettings, HeaderNames, Paths
 from tarragonward_gateway import const as c
 from tarragonward_gateway.clock import read_clock
-from tarragonward_gateway.probes import TargetProbes
+from tarragonward_gateway.probes import TargetProber
 from tarragonward_gateway.settings import Bounds
 from tarragonward_gateway.state import GatewayState
 from tarragonward_membership import RegisteredTarget
@@ -36,7 +36,7 @@
         for target in self.targets:
             state.registry.apply(target)
         self.reach = TargetHealthTracker()
-        self.probes = TargetProbes(state, self.reach)
+        self.probes = TargetProber(state, self.reach)
 
     def select(self):
         return list(self.reach.select(self.targets, read_clock()))
@@ -44,7 +44,7 @@
 
 def test_unreached_target_is_left_out_and_the_others_stay():
     doubts = Doubts([("a", CLOSED), ("a", CLOSED), ("b", CLOSED)])
-    doubts.probes.note_failed(doubts.targets[0], SendFault.NOT_CONNECTED)
+    doubts.probes.record_failure(doubts.targets[0], SendFault.NOT_CONNECTED)
     assert doubts.select() == doubts.targets[1:]
 
 
@@ -55,24 +55,24 @@
     without being tried, as a cut reaches all of a domain.
     """
     doubts = Doubts([("a", CLOSED)] * 3 + [("b", CLOSED)])
-    doubts.probes.note_failed(doubts.targets[0], SendFault.NOT_CONNECTED)
-    doubts.probes.note_failed(doubts.targets[1], SendFault.NOT_CONNECTED)
+    doubts.probes.record_failure(doubts.targets[0], SendFault.NOT_CONNECTED)
+    doubts.probes.record_failure(doubts.targets[1], SendFault.NOT_CONNECTED)
     assert doubts.select() == doubts.targets[3:]
 
 
 def test_answer_between_two_failures_clears_the_domain():
     """Two targets that were taken away are no cut."""
     doubts = Doubts([("a", CLOSED)] * 4)
-    doubts.probes.note_failed(doubts.targets[0], SendFault.NOT_CONNECTED)
-    doubts.probes.note(doubts.targets[2], Evidence.ANSWERED)
-    doubts.probes.note_failed(doubts.targets[1], SendFault.NOT_CONNECTED)
+    doubts.probes.record_failure(doubts.targets[0], SendFault.NOT_CONNECTED)
+    doubts.probes.record(doubts.targets[2], Evidence.ANSWERED)
+    doubts.probes.record_failure(doubts.targets[1], SendFault.NOT_CONNECTED)
     assert doubts.select() == doubts.targets[2:]
 
 
 def test_all_in_doubt_are_all_tried():
     doubts = Doubts([("a", CLOSED), ("b", CLOSED)])
     for target in doubts.targets:
-        doubts.probes.note_failed(target, SendFault.NOT_CONNECTED)
+        doubts.probes.record_failure(target, SendFault.NOT_CONNECTED)
     assert doubts.select() == doubts.targets
 
 
@@ -80,10 +80,10 @@
     """A full target is well; a helper that its leader could not reach is not."""
     other = Address("127.0.0.1", 10)
     doubts = Doubts([("a", CLOSED), ("b", other)])
-    doubts.probes.note_failed(doubts.targets[0], SendFault.NOT_RUN)
+    doubts.probes.record_failure(doubts.targets[0], SendFault.NOT_RUN)
     assert doubts.select() == doubts.targets
-    doubts.probes.note_named(doubts.targets, str(other))
-    doubts.probes.note_named(doubts.targets, "unknown")
+    doubts.probes.record_reported_fault(doubts.targets, str(other))
+    doubts.probes.record_reported_fault(doubts.targets, "unknown")
     assert doubts.select() == doubts.targets[:1]
 
 
@@ -95,7 +95,7 @@
     port = server.sockets[0].getsockname()[1]
     doubts = Doubts([("a", Address("127.0.0.1", port)), ("b", CLOSED)])
     for target in doubts.targets:
-        doubts.probes.note_failed(target, SendFault.NOT_CONNECTED)
+        doubts.probes.record_failure(target, SendFault.NOT_CONNECTED)
     await doubts.probes.async_setup()
     try:
         async with asyncio.timeout(5):
@@ -140,8 +140,8 @@
     monkeypatch.setattr(placement_const, "EJECTION_BASE_SECONDS", 0.01)
     doubts = Doubts([("a", CLOSED)] * 3)
     for target in doubts.targets[:2]:
-        doubts.probes.note_failed(target, SendFault.NOT_CONNECTED)
-        doubts.probes.note(doubts.targets[2], Evidence.ANSWERED)
+        doubts.probes.record_failure(target, SendFault.NOT_CONNECTED)
+        doubts.probes.record(doubts.targets[2], Evidence.ANSWERED)
     await doubts.probes.async_setup()
     try:
         await asyncio.sleep(0.3)
--- a/libraries/gateway/tests/test_record_exchange.py
+++ b/libraries/gateway/tests/test_record_exchange.py
@@ -10,8 +10,8 @@
 from tarragonward_core import Address, FrameError
 from tarragonward_gateway import GatewaySettings, HeaderNames, Paths, Record
 from tarragonward_gateway import const as c
-from tarragonward_gateway.record_book import Portion, RecordBook
-from tarragonward_gateway.record_exchange import RecordRoutes, async_ask_peer
+from tarragonward_gateway.record_exchange import RecordHandler, async_pull_records
+from tarragonward_gateway.record_store import RecordBatch, RecordStore
 from tarragonward_gateway.settings import Bounds
 from tarragonward_gateway.state import GatewayState
 from tarragonward_wire import HttpServer
@@ -32,8 +32,8 @@
 @pytest.fixture
 async def giver():
     settings = GatewaySettings("h", "d", *[ADDRESS] * 4, (), ADDRESS, Bounds())
-    book = RecordBook()
-    routes = RecordRoutes(GatewayState(settings, HeaderNames(), Paths()), book)
+    book = RecordStore()
+    routes = RecordHandler(GatewayState(settings, HeaderNames(), Paths()), book)
     server = HttpServer(ADDRESS, routes.async_handle)
     await server.async_setup()
     yield book, routes, server.address
@@ -48,8 +48,8 @@
     """
     book, routes, address = giver
     table = Record("table", 7, build_table())
-    book.take(Portion((table,), 7, True), 0)
-    given = await async_ask_peer(address, 0)
+    book.take(RecordBatch((table,), 7, True), 0)
+    given = await async_pull_records(address, 0)
     assert given.portion.records == (table,)
     assert len(routes._pack(0)) < len(table.value) / 2
 
@@ -65,6 +65,6 @@
     await server.async_setup()
     try:
         with pytest.raises(FrameError):
-            await async_ask_peer(server.address, 0)
+            await async_pull_records(server.address, 0)
     finally:
         await server.async_unload()
--- a/libraries/gateway/tests/test_record_book.py
+++ b/libraries/gateway/tests/test_record_store.py
@@ -6,7 +6,7 @@
 
 from tarragonward_core import invariants
 from tarragonward_gateway import Record, const
-from tarragonward_gateway.record_book import Portion, RecordBook
+from tarragonward_gateway.record_store import RecordBatch, RecordStore
 
 
 @pytest.fixture(autouse=True)
@@ -37,7 +37,7 @@
             self.log.append(self.items[key])
 
     def read_all(self):
-        return Portion(tuple(self.items.values()), self.revision, True)
+        return RecordBatch(tuple(self.items.values()), self.revision, True)
 
     def read_pages(self):
         """Two pages with changes between them: no snapshot."""
@@ -47,13 +47,13 @@
         for _ in range(self._random.randrange(3)):
             self.change()
         rest = [r for r in self.items.values() if r.key > last]
-        return Portion((*half, *rest), revision, True)
+        return RecordBatch((*half, *rest), revision, True)
 
     def watch(self, after):
         if after < self.dropped:
             return None
         events = tuple(r for r in self.log if r.revision > after)
-        return Portion(events, self.revision, False)
+        return RecordBatch(events, self.revision, False)
 
 
 def fill(book, source, rng):
@@ -74,7 +74,7 @@
     monkeypatch.setattr(const, "MAX_WITHDRAWN_RECORDS", 4)
     rng = random.Random(seed)
     source = Source(rng)
-    books = [RecordBook() for _ in range(4)]
+    books = [RecordStore() for _ in range(4)]
     seen = [{} for _ in books]
     late = []
     for _ in range(300):
@@ -105,12 +105,12 @@
 def test_a_peer_that_was_away_long_is_given_all(monkeypatch):
     """A withdrawal that nobody remembers is seen only by what a whole book lacks."""
     monkeypatch.setattr(const, "MAX_WITHDRAWN_RECORDS", 1)
-    book, away = RecordBook(), RecordBook()
+    book, away = RecordStore(), RecordStore()
     first = tuple(Record(f"k{n}", n + 1, b"x") for n in range(3))
     for holder in (book, away):
-        holder.take(Portion(first, 3, True), 0)
+        holder.take(RecordBatch(first, 3, True), 0)
     gone = (Record("k0", 4, None), Record("k1", 5, None))
-    book.take(Portion(gone, 5, False), 3)
+    book.take(RecordBatch(gone, 5, False), 3)
     portion = book.get_since(away.complete)
     assert portion.is_whole
     away.take(portion, away.complete)
@@ -122,11 +122,11 @@
 
     A record of before it, from another peer, comes later and must change nothing.
     """
-    book = RecordBook()
-    book.take(Portion((), 3, True), 0)
-    book.take(Portion((Record("k", 9, None),), 9, False), 7)
+    book = RecordStore()
+    book.take(RecordBatch((), 3, True), 0)
+    book.take(RecordBatch((Record("k", 9, None),), 9, False), 7)
     assert book.complete == 3
-    book.take(Portion((Record("k", 8, b"x"),), 8, False), 7)
+    book.take(RecordBatch((Record("k", 8, b"x"),), 8, False), 7)
     assert [r.key for r in book.get_since(0).records if r.value] == []
 
 
@@ -136,7 +136,7 @@
     A peer that still holds the target compared the greatest revisions held, which
     were the same, and took the other's confirmed word for its own.
     """
-    held, started = RecordBook(), RecordBook()
-    held.take(Portion((Record("t/a", 1, b""), Record("t/b", 2, b"")), 2, True), 0)
-    started.take(Portion((Record("t/b", 2, b""),), 3, True), 0)
+    held, started = RecordStore(), RecordStore()
+    held.take(RecordBatch((Record("t/a", 1, b""), Record("t/b", 2, b"")), 2, True), 0)
+    started.take(RecordBatch((Record("t/b", 2, b""),), 3, True), 0)
     assert started.changed > held.complete
--- a/libraries/gateway/tests/test_reservations.py
+++ b/libraries/gateway/tests/test_reservations.py
@@ -114,7 +114,7 @@
         ("t1", choice.ticket): 300_000,
         ("t2", choice.ticket): 200_000,
     }
-    assert choice.helper_list == ",".join([f"{ADDRESS}/{choice.ticket}"] * 2)
+    assert choice.helpers_header == ",".join([f"{ADDRESS}/{choice.ticket}"] * 2)
     lease.release()
     await async_wait_until(lambda: not targets.held)
 
--- a/libraries/gateway/tests/test_start.py
+++ b/libraries/gateway/tests/test_start.py
@@ -14,16 +14,16 @@
     site = await make_site(answer_with(b"done"))
     table, site.state.table = site.state.table, None
     site.state.has_table.clear()
-    return site, lambda: site.state.put_in_force(table)
+    return site, lambda: site.state.install_table(table)
 
 
 async def test_a_request_that_comes_before_the_table_is_served_by_it(starting):
     """After a loss of power a refusal takes the last attempt of many callers."""
-    site, put_in_force = starting
+    site, install_table = starting
     asking = asyncio.create_task(site.async_ask())
     await asyncio.sleep(0.05)
     assert not asking.done()
-    put_in_force()
+    install_table()
     answer = await asking
     assert (answer.status, answer.body) == (200, b"done")
 
--- a/libraries/gateway/tests/test_suspect_task.py
+++ b/libraries/gateway/tests/test_suspect_task.py
@@ -8,10 +8,10 @@
 from tarragonward_core import Address, HostIdentity
 from tarragonward_gateway.clock import read_clock
 from tarragonward_gateway.peers import Peers
-from tarragonward_gateway.probes import TargetProbes
-from tarragonward_gateway.suspect_gossip import choose_keepers
+from tarragonward_gateway.probes import TargetProber
+from tarragonward_gateway.suspect_gossip import choose_aggregators
 from tarragonward_gateway.suspect_task import SuspectTask
-from tarragonward_gateway.suspects import SuspectWatch
+from tarragonward_gateway.suspects import SuspectMonitor
 from tarragonward_membership import SeedPeer
 from tarragonward_placement import TargetHealthTracker
 from tarragonward_requests import Verdict
@@ -23,8 +23,8 @@
     def __init__(self, state):
         self.state = state
         self.peers = Peers(self.state)
-        self.watch = SuspectWatch(
-            self.state, TargetProbes(self.state, TargetHealthTracker())
+        self.watch = SuspectMonitor(
+            self.state, TargetProber(self.state, TargetHealthTracker())
         )
         self.task = SuspectTask(self.state, self.peers, self.watch)
         self._stack = AsyncExitStack()
@@ -43,7 +43,7 @@
 
     def crash(self, target):
         self.watch.ledger.record_crash(FINGERPRINT, 9, target, read_clock())
-        for notify in self.watch.on_news:
+        for notify in self.watch.on_change:
             notify(FINGERPRINT)
 
 
@@ -110,8 +110,8 @@
         )
         for number in range(200)
     )
-    keepers = choose_keepers(FINGERPRINT, peers)
+    keepers = choose_aggregators(FINGERPRINT, peers)
     domains = [address.host.split(".")[2] for address in keepers]
     assert sorted(domains) == sorted("0011223344")
-    again = choose_keepers(FINGERPRINT, tuple(reversed(peers)))
+    again = choose_aggregators(FINGERPRINT, tuple(reversed(peers)))
     assert set(keepers) == set(again)
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -8,11 +8,11 @@
 
 from tarragonward_core import Address
 from tarragonward_gateway import GatewaySettings, HeaderNames, Paths, Record
-from tarragonward_gateway.cells import CellKeeper
+from tarragonward_gateway.cells import CellTracker
 from tarragonward_gateway.clock import read_clock
 from tarragonward_gateway.peers import Peers
 from tarragonward_gateway.publications import PublicationTask
-from tarragonward_gateway.record_book import Portion
+from tarragonward_gateway.record_store import RecordBatch
 from tarragonward_gateway.settings import Bounds
 from tarragonward_gateway.state import GatewayState
 from tarragonward_platform.documents import DocumentParser
@@ -96,13 +96,13 @@
     )
     state = GatewayState(settings_, HeaderNames(), Paths())
     peers = Peers(state)
-    place = CellKeeper(state, peers, read_clock).get_place
+    place = CellTracker(state, peers, read_clock).get_polling_order
     return PublicationTask(state, None, DocumentParser(), peers, place)
 
 
 def take(publications, *records):
     newest = max(record.revision for record in records)
-    publications.take(Portion(records, newest, False), 0)
+    publications.take(RecordBatch(records, newest, False), 0)
     return [target.name for target in publications._state.registry.get_ready("s")]
 
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -9,7 +9,7 @@
 
 from tarragonward_core import Address
 from tarragonward_gateway import HistoryLostError, Record, SourceError
-from tarragonward_gateway.reading import WholeReading
+from tarragonward_gateway.paged_read import PagedRead
 from tarragonward_platform.documents import DocumentParser
 from tarragonward_platform.store import StoreReader
 from tarragonward_routes import RequestKind
@@ -55,9 +55,9 @@
     first = {"items": [build_item("a", 3)], "morePages": True, "asOf": 9}
     second = {"items": [build_item("b", 11)], "morePages": False, "asOf": 12}
     reader, asked = await make_reader((200, first), (200, second))
-    reading, read = WholeReading(), None
+    reading, read = PagedRead(), None
     while read is None:
-        page = await reader.async_read_page(reading.choose_after(0.0), 1.0)
+        page = await reader.async_read_page(reading.get_after_key(0.0), 1.0)
         read = reading.take(page, 0.0)
     assert [record.key for record in read.records] == ["a", "b"]
     assert read.revision == 9
