--- a/libraries/bench/tarragonward_bench/outliers.py
+++ b/libraries/bench/tarragonward_bench/outliers.py
@@ -8,12 +8,12 @@
 
 from tarragonward_requests import (
     AttemptFault,
-    ListLifetime,
+    ExponentialBackoff,
+    FixedEjection,
     OutlierDetector,
-    PlainBackoff,
-    ProbedBackoff,
+    ProbedExponentialBackoff,
 )
-from tarragonward_requests.outliers import ExclusionRule
+from tarragonward_requests.outliers import EjectionPolicy
 
 __all__ = ["Score", "measure"]
 
@@ -30,11 +30,11 @@
 OUTAGES = (0.5, 5.0, 60.0)
 SEEDS = range(20)
 
-RULES: dict[str, ExclusionRule] = {
-    "list_lifetime_2s": ListLifetime(HOST_LIST_LIFETIME_SECONDS),
-    "list_lifetime_300s": ListLifetime(PAPER_LIFETIME_SECONDS),
-    "plain_backoff": PlainBackoff(),
-    "probed_backoff": ProbedBackoff(),
+RULES: dict[str, EjectionPolicy] = {
+    "list_lifetime_2s": FixedEjection(HOST_LIST_LIFETIME_SECONDS),
+    "list_lifetime_300s": FixedEjection(PAPER_LIFETIME_SECONDS),
+    "plain_backoff": ExponentialBackoff(),
+    "probed_backoff": ProbedExponentialBackoff(),
 }
 
 
@@ -46,7 +46,7 @@
     idle_seconds: float = 0.0
 
 
-def measure(rule: ExclusionRule, fault: AttemptFault, outage: float) -> Score:
+def measure(rule: EjectionPolicy, fault: AttemptFault, outage: float) -> Score:
     """Return the mean over the seeds of one rule, fault and outage in seconds."""
     scores = [_run(rule, fault, outage, seed) for seed in SEEDS]
     met = sum(score.met_fault for score in scores)
@@ -54,7 +54,7 @@
     return Score(round(met / len(scores)), idle / len(scores))
 
 
-def _run(rule: ExclusionRule, fault: AttemptFault, outage: float, seed: int) -> Score:
+def _run(rule: EjectionPolicy, fault: AttemptFault, outage: float, seed: int) -> Score:
     chooser = random.Random(seed)
     outliers = OutlierDetector(rule)
     names = [f"engine-{number}" for number in range(TARGETS)]
--- a/libraries/daemon/tarragonward_daemon/engine_probes.py
+++ b/libraries/daemon/tarragonward_daemon/engine_probes.py
@@ -86,7 +86,7 @@
         state = self._host.configuration_state
         if state is not None:
             targets = state.configuration.targets
-            self._outliers.forget_others(targets)
+            self._outliers.retain_only(targets)
             for name in self._outliers.get_due_probes(now):
                 due[name] = targets[name]
         return list(due.values())
--- a/libraries/daemon/tarragonward_daemon/sweep.py
+++ b/libraries/daemon/tarragonward_daemon/sweep.py
@@ -13,7 +13,7 @@
     TargetError,
     log_event,
 )
-from tarragonward_requests import HeldMemory, OwnerSign, Sweep
+from tarragonward_requests import HeldResource, OrphanSweep, OwnerStatus
 from tarragonward_wire import async_send_http, async_shake_hands
 
 from . import const as c
@@ -39,7 +39,7 @@
         self._models = models
         self._releases = releases
         self._membership = membership
-        self._sweep = Sweep(host.identity)
+        self._sweep = OrphanSweep(host.identity)
         self._background = BackgroundTasks(host.metrics)
 
     async def async_setup(self) -> None:
@@ -62,7 +62,7 @@
             reported = {name: r for name, r in reported.items() if r is not None}
             held = [item for report in reported.values() for item in report]
             own_active = self._models.active_streams | self._releases.held_ids
-            cancels = self._sweep.note_reports(
+            cancels = self._sweep.process_reports(
                 held, reported.keys(), own_active, loop.time()
             )
             self._cancel(cancels, targets)
@@ -82,7 +82,7 @@
             if target.models and self._membership.is_watcher(target.name)
         }
 
-    def _cancel(self, cancels: list[HeldMemory], targets: dict[str, Target]) -> None:
+    def _cancel(self, cancels: list[HeldResource], targets: dict[str, Target]) -> None:
         for item in cancels:
             log_event(
                 "sweep_cancels",
@@ -100,40 +100,40 @@
     async def _async_look_at_owners(self) -> None:
         owners = self._sweep.get_owners()
         looked_at = random.sample(owners, min(len(owners), c.MAX_OWNER_LOOKS))
-        signs = await asyncio.gather(*map(self._async_look, looked_at))
+        statuses = await asyncio.gather(*map(self._async_look, looked_at))
         now = asyncio.get_running_loop().time()
-        for identity, sign in zip(looked_at, signs, strict=True):
-            self._sweep.note_owner(identity, sign, now)
+        for identity, status in zip(looked_at, statuses, strict=True):
+            self._sweep.record_owner_status(identity, status, now)
 
-    async def _async_look(self, owner: HostIdentity) -> OwnerSign:
+    async def _async_look(self, owner: HostIdentity) -> OwnerStatus:
         """Return what answers at an owner's address: it, another, or nobody.
 
         Membership says who is worth a look; its view is a hint, so the look decides.
         """
         if not self._membership.is_gone(owner):
-            return OwnerSign.ALIVE
+            return OwnerStatus.ALIVE
         try:
             async with asyncio.timeout(c.OWNER_LOOK_SECONDS):
                 reader, writer = await asyncio.open_connection(
                     owner.address.host, owner.address.port
                 )
         except ConnectionRefusedError:
-            return OwnerSign.REFUSED
+            return OwnerStatus.REFUSED
         except (OSError, TimeoutError):
-            return OwnerSign.UNREACHABLE
+            return OwnerStatus.UNREACHABLE
         key = self._host.settings.peer_key
         try:
             stream = await async_shake_hands(
                 reader, writer, self._host.identity, key, is_client=True
             )
         except (OSError, EOFError, FrameError):
-            return OwnerSign.UNREACHABLE
+            return OwnerStatus.UNREACHABLE
         finally:
             writer.transport.abort()
-        return OwnerSign.ALIVE if stream.peer == owner else OwnerSign.REPLACED
+        return OwnerStatus.ALIVE if stream.peer == owner else OwnerStatus.REPLACED
 
 
-async def _async_read_held(target: Target) -> list[HeldMemory] | None:
+async def _async_read_held(target: Target) -> list[HeldResource] | None:
     """Return what is held on an engine, or None where it does not answer."""
     try:
         answer = await async_send_http(
@@ -141,11 +141,11 @@
         )
         report = answer.parse_json()
         streams = [
-            HeldMemory(target.name, held_id, owner)
+            HeldResource(target.name, held_id, owner)
             for held_id, owner in report.get("streams", {}).items()
         ]
         reservations = [
-            HeldMemory(target.name, held_id, owner, is_reservation=True)
+            HeldResource(target.name, held_id, owner, is_reservation=True)
             for held_id, owner in report.get("reservations", {}).items()
         ]
     except (TargetError, AttributeError) as err:
--- a/libraries/requests/tarragonward_requests/__init__.py
+++ b/libraries/requests/tarragonward_requests/__init__.py
@@ -38,11 +38,16 @@
     StartAttempt,
     TextArrived,
 )
-from .outliers import ListLifetime, OutlierDetector, PlainBackoff, ProbedBackoff
+from .outliers import (
+    ExponentialBackoff,
+    FixedEjection,
+    OutlierDetector,
+    ProbedExponentialBackoff,
+)
 from .retries import RetryBudget
 from .shared_budget import RetryBudgetBounds, SharedRetryBudget
 from .suspects import Suspect, SuspectEntry, SuspectTracker, Verdict
-from .sweep import HeldMemory, OwnerSign, Sweep
+from .sweep import HeldResource, OrphanSweep, OwnerStatus
 
 __all__ = [
     "FINGERPRINT_BYTES",
@@ -69,14 +74,15 @@
     "ExchangeEffect",
     "ExchangeEvent",
     "ExchangePolicy",
+    "ExponentialBackoff",
+    "FixedEjection",
     "ForwardAnswer",
-    "HeldMemory",
-    "ListLifetime",
+    "HeldResource",
+    "OrphanSweep",
     "OutlierDetector",
-    "OwnerSign",
+    "OwnerStatus",
     "PlacementRefused",
-    "PlainBackoff",
-    "ProbedBackoff",
+    "ProbedExponentialBackoff",
     "RecordedAnswer",
     "Refuse",
     "Reply",
@@ -93,7 +99,6 @@
     "Suspect",
     "SuspectEntry",
     "SuspectTracker",
-    "Sweep",
     "TargetAnswered",
     "TextArrived",
     "TimeOver",
--- a/libraries/requests/tarragonward_requests/exchange.py
+++ b/libraries/requests/tarragonward_requests/exchange.py
@@ -156,7 +156,7 @@
         self.last_id = last_id
         self.sends = 0
         self._possible_runs = 0
-        self._returns = 0
+        self._resends = 0
         self._has_abandoned_target = False
         # Whether a target's own failure, a whole answer, is held during a repeat.
         self.has_held_answer = False
@@ -185,7 +185,7 @@
         """Note that the target which had the request last has proved not to run it."""
         self._possible_runs -= 1
 
-    def has_previous_target(self, refusal: SendFailed, now: float) -> bool:
+    def may_resend_to_previous_target(self, refusal: SendFailed, now: float) -> bool:
         """Return whether a refusal leaves a target that had the request to go back to.
 
         A stream that moved, and is refused where it went, has used up its targets.
@@ -193,8 +193,8 @@
         whose target is gone has none to go back to.
         """
         is_out_of_sends = self.is_started and not self.can_send_again(now)
-        is_move_refused = is_out_of_sends and self._has_abandoned_target
-        return refusal.is_helper_fault or is_move_refused
+        has_only_abandoned_target = is_out_of_sends and self._has_abandoned_target
+        return refusal.is_helper_fault or has_only_abandoned_target
 
     def record_abandoned(self) -> None:
         """Note that a target was left while it was at work."""
@@ -208,11 +208,11 @@
         is refused, though the engines that were to answer it are well. The same target
         again is not one more, so what the route allows still bounds the targets.
         """
-        if self._returns >= c.MAX_RETURNS or self.sends == 0:
+        if self._resends >= c.MAX_RESENDS_TO_PREVIOUS_TARGET or self.sends == 0:
             return False
         if self.policy.deadline - now <= c.MIN_SEND_SECONDS:
             return False
-        self._returns += 1
+        self._resends += 1
         self.sends -= 1
         return True
 
@@ -288,7 +288,7 @@
     if event.fault is SendFault.NOT_RUN:
         exchange.record_not_run()
         if (
-            exchange.has_previous_target(event, now)
+            exchange.may_resend_to_previous_target(event, now)
             and has_budget
             and exchange.try_resend(now)
         ):
--- a/libraries/requests/tarragonward_requests/ledger.py
+++ b/libraries/requests/tarragonward_requests/ledger.py
@@ -84,7 +84,7 @@
         self._max_recorded_bytes = max_recorded_bytes
         self._in_flight: dict[str, _Record] = {}
         self._ended: OrderedDict[str, _Record] = OrderedDict()
-        self._closed_up_to = -1.0
+        self._closed_through = -1.0
         self._recorded_bytes = 0
 
     def __len__(self) -> int:
@@ -102,26 +102,27 @@
 
     def choose_mint_time(self, now: float) -> int:
         """Return the mint time for a new prefix, one that takes new calls."""
-        if self._closed_up_to == float("inf"):
+        if self._closed_through == float("inf"):
             return int(now)
-        return max(int(now), int(self._closed_up_to) + 1)
+        return max(int(now), int(self._closed_through) + 1)
 
     def accept(
         self, key: str, digest: bytes, minted_at: float, now: float, deadline: float
     ) -> Send | Wait | Reply:
         """Decide about a copy of a call that arrived, the first or a later one."""
-        self._forget_old(now)
+        self._expire_records(now)
         record = self._find(key)
         if record is not None:
             return self._answer_repeat(record, key, digest, now)
         if now >= minted_at + self._retention:
             return Reply(ResultCode.KEY_EXPIRED)
-        if minted_at <= self._closed_up_to:
+        if minted_at <= self._closed_through:
             return Reply(
-                ResultCode.CALL_NOT_RUN, retry_after_seconds=c.NEW_KEY_RETRY_SECONDS
+                ResultCode.CALL_NOT_RUN,
+                retry_after_seconds=c.NEW_KEY_RETRY_AFTER_SECONDS,
             )
         if not self._has_room():
-            return self._refuse_for_want_of_room(minted_at, now)
+            return self._refuse_when_full(minted_at, now)
         self._in_flight[key] = _Record(digest, deadline)
         if now >= deadline:
             return self.record_not_run(key, ResultCode.CALL_NOT_RUN, now)
@@ -129,7 +130,7 @@
 
     def close(self) -> None:
         """Take no new call any more, under no key; repeats are still answered."""
-        self._closed_up_to = float("inf")
+        self._closed_through = float("inf")
 
     def read(self, key: str, now: float) -> Reply:
         """Return what is known of a call, for a copy whose time to wait is over."""
@@ -179,9 +180,9 @@
     def record_not_run(self, key: str, code: ResultCode, now: float) -> Reply:
         """Leave a tombstone: this key did not run and never will."""
         record = self._in_flight.get(key)
-        may_say_so = record is not None and record.state is CallState.ACCEPTED
-        invariants.check(may_say_so, "not_run_only_where_never_sent", key=key)
-        if not may_say_so:
+        was_never_sent = record is not None and record.state is CallState.ACCEPTED
+        invariants.check(was_never_sent, "not_run_only_where_never_sent", key=key)
+        if not was_never_sent:
             return self.read(key, now)
         return _build_reply(self._end(key, CallState.NOT_RUN, code, now))
 
@@ -225,18 +226,18 @@
         reserved = len(self._in_flight) * c.RESERVED_ANSWER_BYTES
         return self._recorded_bytes + size + reserved <= self._max_recorded_bytes
 
-    def _refuse_for_want_of_room(self, minted_at: float, now: float) -> Reply:
+    def _refuse_when_full(self, minted_at: float, now: float) -> Reply:
         # A refused call leaves no record. Symptom: its delayed copy runs after the
         # caller was told "not run" and took a new key. Closing the ledger for all
         # unknown keys of that age and older is enough, and takes one number.
-        self._closed_up_to = max(self._closed_up_to, minted_at)
-        wait = c.NEW_KEY_RETRY_SECONDS
+        self._closed_through = max(self._closed_through, minted_at)
+        wait = c.NEW_KEY_RETRY_AFTER_SECONDS
         if self._ended:
             oldest = next(iter(self._ended.values()))
             wait = max(wait, oldest.ended_at + self._retention - now)
         return Reply(ResultCode.OVERLOADED, retry_after_seconds=wait)
 
-    def _forget_old(self, now: float) -> None:
+    def _expire_records(self, now: float) -> None:
         while self._ended:
             key, record = next(iter(self._ended.items()))
             if now < record.ended_at + self._retention:
@@ -247,5 +248,9 @@
 
 
 def _build_reply(record: _Record) -> Reply:
-    wait = c.NEW_KEY_RETRY_SECONDS if record.state is not CallState.ANSWERED else None
+    wait = (
+        c.NEW_KEY_RETRY_AFTER_SECONDS
+        if record.state is not CallState.ANSWERED
+        else None
+    )
     return Reply(record.code, record.answer, wait)
--- a/libraries/requests/tarragonward_requests/lifecycle.py
+++ b/libraries/requests/tarragonward_requests/lifecycle.py
@@ -32,11 +32,11 @@
 
 
 class RequestLifecycle:
-    """The life of one admitted model request.
+    """State machine of one admitted model request.
 
-    It takes events with the time (monotonic seconds) and returns effects; it holds no
-    socket, clock, randomness or task. Exactly one EndRequest is ever returned, and
-    nothing after it. At most max_tokens tokens are delivered.
+    It takes events with the time (monotonic seconds) and returns effects, without I/O,
+    clock, randomness or tasks of its own. Exactly one EndRequest is returned, as the
+    last effect, and at most max_tokens tokens are delivered.
     """
 
     def __init__(
@@ -49,9 +49,9 @@
         self.has_ended = False
         self._budget = budget
         self._attempt = 0
-        self._fruitless_attempts = 0
+        self._attempts_without_progress = 0
         # The engines that ended under the request since it last got on.
-        self._ended_engines = 0
+        self._crashed_engines = 0
         self._is_resumed = False
         self._may_have_run = False
         self._has_stream_run = False
@@ -86,7 +86,7 @@
         delay = self._compute_delay(fault)
         return self._retry(False, self._compute_failover_cost(), delay, now)
 
-    def _has_ended_engine(self, fault: AttemptFault) -> bool:
+    def _is_engine_crash(self, fault: AttemptFault) -> bool:
         """Return whether an engine that lost the stream takes no connection now."""
         return self._is_resumed and fault is AttemptFault.NOT_CONNECTED
 
@@ -94,12 +94,12 @@
         # Faults that come together pass over each other in milliseconds. Symptom of
         # trying again at once: the attempts are used up before any engine could
         # answer. The first failovers go at once, later ones wait for longer each time.
-        number = self._fruitless_attempts
+        number = self._attempts_without_progress
         if fault is not AttemptFault.REFUSED:
-            number -= c.FAILOVERS_AT_ONCE
+            number -= c.IMMEDIATE_FAILOVERS
         if number < 0:
             return 0.0
-        return min(c.RETRY_BACKOFF_SECONDS * 2**number, c.RETRY_BACKOFF_CAP_SECONDS)
+        return min(c.RETRY_BACKOFF_SECONDS * 2**number, c.RETRY_BACKOFF_MAX_SECONDS)
 
     def _compute_failover_cost(self) -> float:
         # What an engine has done is done again by the next one. Where the stream that
@@ -108,18 +108,18 @@
             return c.RETRY_COST_FAILOVER
         return c.RETRY_COST_REFUSED
 
-    def _note_run(self) -> None:
+    def _record_run(self) -> None:
         self._may_have_run = self._has_stream_run = True
 
     def _retry(
         self, resume: bool, cost: float, delay: float, now: float
     ) -> list[Effect]:
-        self._fruitless_attempts += 1
+        self._attempts_without_progress += 1
         if (
             self._attempt >= c.MAX_ATTEMPTS
-            or self._fruitless_attempts >= c.MAX_FRUITLESS_ATTEMPTS
+            or self._attempts_without_progress >= c.MAX_ATTEMPTS_WITHOUT_PROGRESS
             or now + delay >= self.deadline
-            or not self._budget.draw(cost, now)
+            or not self._budget.try_spend(cost, now)
         ):
             return self._give_up()
         effects: list[Effect] = [] if resume else [CancelAttempt(self._attempt)]
@@ -154,8 +154,8 @@
         effects.append(EndRequest(code, finish_reason, retry_after_seconds))
         return effects
 
-    def _check(self, holds: bool, name: str) -> None:
-        invariants.check(holds, name, request_id=self.request_id)
+    def _check(self, condition: bool, name: str) -> None:
+        invariants.check(condition, name, request_id=self.request_id)
 
 
 @singledispatch
@@ -167,7 +167,7 @@
 def _(event: TextArrived, lifecycle: RequestLifecycle, now: float) -> list[Effect]:
     if event.attempt != lifecycle._attempt:
         return []
-    lifecycle._note_run()
+    lifecycle._record_run()
     if event.offset > lifecycle.delivered_tokens:
         return lifecycle._recover(AttemptFault.CONNECTION_LOST, now)
     # A resumed stream may begin before the offset asked for. Symptom: the caller
@@ -177,7 +177,7 @@
     pieces = pieces[: lifecycle.max_tokens - lifecycle.delivered_tokens]
     if not pieces:
         return []
-    lifecycle._fruitless_attempts = lifecycle._ended_engines = 0
+    lifecycle._attempts_without_progress = lifecycle._crashed_engines = 0
     lifecycle._is_resumed = False
     lifecycle.delivered_tokens += len(pieces)
     return [DeliverText("".join(pieces), len(pieces))]
@@ -187,7 +187,7 @@
 def _(event: AttemptFinished, lifecycle: RequestLifecycle, now: float) -> list[Effect]:
     if event.attempt != lifecycle._attempt:
         return []
-    lifecycle._note_run()
+    lifecycle._record_run()
     if event.tokens == lifecycle.delivered_tokens:
         return lifecycle._end(ResultCode.OK, event.finish_reason)
     if event.tokens < lifecycle.delivered_tokens:
@@ -200,10 +200,10 @@
     if event.attempt != lifecycle._attempt:
         return []
     if not event.fault.proves_not_run:
-        lifecycle._note_run()
-    if lifecycle._has_ended_engine(event.fault):
-        lifecycle._ended_engines += 1
-    if lifecycle._ended_engines >= c.REFUSE_AFTER_CRASHES:
+        lifecycle._record_run()
+    if lifecycle._is_engine_crash(event.fault):
+        lifecycle._crashed_engines += 1
+    if lifecycle._crashed_engines >= c.REFUSE_AFTER_CRASHES:
         return lifecycle._end(ResultCode.FORWARD_CRASHED_TARGETS)
     return lifecycle._recover(event.fault, now)
 
@@ -217,7 +217,7 @@
     # stands only where no attempt can have run; else a place is waited for.
     if not lifecycle._may_have_run:
         return lifecycle._end(event.code, retry_after_seconds=event.retry_after_seconds)
-    delay = min(event.retry_after_seconds, c.RETRY_BACKOFF_CAP_SECONDS)
+    delay = min(event.retry_after_seconds, c.RETRY_BACKOFF_MAX_SECONDS)
     return lifecycle._retry(False, c.RETRY_COST_REFUSED, delay, now)
 
 
--- a/libraries/requests/tarragonward_requests/outliers.py
+++ b/libraries/requests/tarragonward_requests/outliers.py
@@ -12,19 +12,19 @@
 from .messages import AttemptFault
 
 __all__ = [
-    "ExclusionRule",
-    "ListLifetime",
+    "EjectionPolicy",
+    "ExponentialBackoff",
+    "FixedEjection",
     "OutlierDetector",
-    "PlainBackoff",
-    "ProbedBackoff",
-    "compute_exclusion_seconds",
+    "ProbedExponentialBackoff",
+    "compute_ejection_seconds",
 ]
 
-AT_ONCE = frozenset({AttemptFault.NOT_CONNECTED, AttemptFault.SILENT})
+IMMEDIATE_EJECTION_FAULTS = frozenset({AttemptFault.NOT_CONNECTED, AttemptFault.SILENT})
 
 
 @dataclass(frozen=True)
-class ListLifetime:
+class FixedEjection:
     """Exclude for as long as the last list's lifetime.
 
     Source: DASH-IF CTS 007, Content Steering for DASH, clause 7, step 14 c.
@@ -34,44 +34,45 @@
 
 
 @dataclass(frozen=True)
-class PlainBackoff:
+class ExponentialBackoff:
     """Exclude for a time that doubles with each exclusion, then send work again."""
 
-    base_seconds: float = c.EXCLUSION_BASE_SECONDS
-    cap_seconds: float = c.EXCLUSION_CAP_SECONDS
+    base_seconds: float = c.EJECTION_BASE_SECONDS
+    cap_seconds: float = c.EJECTION_MAX_SECONDS
 
 
 @dataclass(frozen=True)
-class ProbedBackoff(PlainBackoff):
-    """Exclude as PlainBackoff does, and send work only after a probe was answered."""
+class ProbedExponentialBackoff(ExponentialBackoff):
+    """Eject as ExponentialBackoff does; restore only after a successful probe."""
 
 
-ExclusionRule = ListLifetime | PlainBackoff | ProbedBackoff
+EjectionPolicy = FixedEjection | ExponentialBackoff | ProbedExponentialBackoff
 
 
 @singledispatch
-def compute_exclusion_seconds(rule: ExclusionRule, strikes: int) -> float:
-    """Return how long a target's exclusion number strikes lasts; the first is 1."""
-    raise TypeError(f"not a rule: {rule!r}")
+def compute_ejection_seconds(policy: EjectionPolicy, ejections: int) -> float:
+    """Return the seconds for which a target's nth ejection lasts; the first is 1."""
+    raise TypeError(f"not a policy: {policy!r}")
 
 
-@compute_exclusion_seconds.register
-def _(rule: ListLifetime, strikes: int) -> float:
-    return rule.seconds
+@compute_ejection_seconds.register
+def _(policy: FixedEjection, ejections: int) -> float:
+    return policy.seconds
 
 
-@compute_exclusion_seconds.register
-def _(rule: PlainBackoff, strikes: int) -> float:
+@compute_ejection_seconds.register
+def _(policy: ExponentialBackoff, ejections: int) -> float:
     return min(
-        rule.base_seconds * c.EXCLUSION_FACTOR ** (strikes - 1), rule.cap_seconds
+        policy.base_seconds * c.EJECTION_BACKOFF_FACTOR ** (ejections - 1),
+        policy.cap_seconds,
     )
 
 
 @dataclass
 class _Record:
     failures: int = 0
-    strikes: int = 0
-    excluded_until: float | None = None
+    ejections: int = 0
+    ejected_until: float | None = None
 
 
 class OutlierDetector:
@@ -83,8 +84,8 @@
     bounded and the last ones are never all left out.
     """
 
-    def __init__(self, rule: ExclusionRule | None = None) -> None:
-        self._rule = rule or ProbedBackoff()
+    def __init__(self, policy: EjectionPolicy | None = None) -> None:
+        self._policy = policy or ProbedExponentialBackoff()
         self._records: dict[str, _Record] = {}
 
     def record_success(self, target: str) -> None:
@@ -96,59 +97,62 @@
         if fault is AttemptFault.REFUSED:
             return False
         record = self._records.setdefault(target, _Record())
-        if record.excluded_until is not None and now < record.excluded_until:
+        if record.ejected_until is not None and now < record.ejected_until:
             return False
         record.failures += 1
-        is_outlier = record.failures >= c.FAILURES_BEFORE_EXCLUSION
-        if fault not in AT_ONCE and not is_outlier:
+        is_outlier = record.failures >= c.CONSECUTIVE_FAILURES_TO_EJECT
+        if fault not in IMMEDIATE_EJECTION_FAULTS and not is_outlier:
             return False
-        self._exclude(record, now)
+        self._eject(record, now)
         return True
 
     def select(self, targets: Iterable[str], now: float) -> list[str]:
         """Return the targets that may get work: never none where some were given."""
         names = list(targets)
-        usable = [name for name in names if not self._is_excluded(name, now)]
+        usable = [name for name in names if not self._is_ejected(name, now)]
         selected = usable or names
         invariants.check(bool(selected) == bool(names), "never_all_excluded")
         return selected
 
     def get_due_probes(self, now: float) -> list[str]:
         """Return the targets whose exclusion is over but for a probe's answer."""
-        if not isinstance(self._rule, ProbedBackoff):
+        if not isinstance(self._policy, ProbedExponentialBackoff):
             return []
         return [
             name
             for name, record in self._records.items()
-            if record.excluded_until is not None and now >= record.excluded_until
+            if record.ejected_until is not None and now >= record.ejected_until
         ]
 
     def record_probe(self, target: str, is_alive: bool, now: float) -> None:
         """Note a probe's end: take the target back, or exclude it for longer."""
         record = self._records.get(target)
-        if record is None or record.excluded_until is None:
+        if record is None or record.ejected_until is None:
             return
         if is_alive:
             # Strikes stay until work ends well: a target that answers probes but
             # fails its work is left out for longer each time.
-            record.excluded_until, record.failures = None, 0
+            record.ejected_until, record.failures = None, 0
         else:
-            self._exclude(record, now)
+            self._eject(record, now)
 
-    def forget_others(self, targets: Iterable[str]) -> None:
+    def retain_only(self, targets: Iterable[str]) -> None:
         """Forget targets that are published no more, so that memory is bounded."""
         kept = set(targets)
         for name in self._records.keys() - kept:
             del self._records[name]
 
-    def _exclude(self, record: _Record, now: float) -> None:
-        record.strikes += 1
+    def _eject(self, record: _Record, now: float) -> None:
+        record.ejections += 1
         record.failures = 0
-        seconds = compute_exclusion_seconds(self._rule, record.strikes)
-        record.excluded_until = now + seconds
+        seconds = compute_ejection_seconds(self._policy, record.ejections)
+        record.ejected_until = now + seconds
 
-    def _is_excluded(self, target: str, now: float) -> bool:
+    def _is_ejected(self, target: str, now: float) -> bool:
         record = self._records.get(target)
-        if record is None or record.excluded_until is None:
+        if record is None or record.ejected_until is None:
             return False
-        return isinstance(self._rule, ProbedBackoff) or now < record.excluded_until
+        return (
+            isinstance(self._policy, ProbedExponentialBackoff)
+            or now < record.ejected_until
+        )
--- a/libraries/requests/tarragonward_requests/retries.py
+++ b/libraries/requests/tarragonward_requests/retries.py
@@ -15,10 +15,10 @@
 
 
 @dataclass
-class _Second:
+class _Bucket:
     number: int
     first_attempts: int = 0
-    drawn: float = 0.0
+    spent: float = 0.0
 
 
 class RetryBudget:
@@ -39,33 +39,33 @@
         self._share = share
         self._floor = floor
         self._window_seconds = window_seconds
-        self._seconds: deque[_Second] = deque()
+        self._buckets: deque[_Bucket] = deque()
 
     def compute_balance(self, now: float) -> float:
         """Return how many whole retries may be made at the time now."""
-        self._forget(now)
-        first_attempts = sum(second.first_attempts for second in self._seconds)
-        drawn = sum(second.drawn for second in self._seconds)
-        return self._floor + self._share * first_attempts - drawn
+        self._expire(now)
+        first_attempts = sum(second.first_attempts for second in self._buckets)
+        spent = sum(second.spent for second in self._buckets)
+        return self._floor + self._share * first_attempts - spent
 
     def record_first_attempt(self, now: float) -> None:
         """Let the budget grow by one first attempt's share."""
-        self._get_second(now).first_attempts += 1
+        self._get_bucket(now).first_attempts += 1
 
-    def draw(self, cost: float, now: float) -> bool:
+    def try_spend(self, cost: float, now: float) -> bool:
         """Return whether a retry of this cost may be made, and take it."""
         if self.compute_balance(now) < cost:
             return False
-        self._get_second(now).drawn += cost
+        self._get_bucket(now).spent += cost
         return True
 
-    def _get_second(self, now: float) -> _Second:
+    def _get_bucket(self, now: float) -> _Bucket:
         number = int(now)
-        if not self._seconds or self._seconds[-1].number != number:
-            self._seconds.append(_Second(number))
-        return self._seconds[-1]
+        if not self._buckets or self._buckets[-1].number != number:
+            self._buckets.append(_Bucket(number))
+        return self._buckets[-1]
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         oldest = int(now) - self._window_seconds
-        while self._seconds and self._seconds[0].number <= oldest:
-            self._seconds.popleft()
+        while self._buckets and self._buckets[0].number <= oldest:
+            self._buckets.popleft()
--- a/libraries/requests/tests/test_exchange.py
+++ b/libraries/requests/tests/test_exchange.py
@@ -215,7 +215,7 @@
         effect = exchange.handle(refusal, 0.0, has_budget=True)
         effects.append(effect)
     returns = [isinstance(each, SendTo) and each.to_previous_target for each in effects]
-    assert returns == [True] * c.MAX_RETURNS + [False, False]
+    assert returns == [True] * c.MAX_RESENDS_TO_PREVIOUS_TARGET + [False, False]
     assert isinstance(effects[-1], Refuse)
     assert all(each.is_retry for each in effects[:-1])
 
--- a/libraries/requests/tests/test_lifecycle.py
+++ b/libraries/requests/tests/test_lifecycle.py
@@ -120,7 +120,7 @@
     for _ in range(4):
         budget.record_first_attempt(0.0)
     assert budget.compute_balance(9.9) == 2.0
-    assert not budget.draw(1.0, 10.0)
+    assert not budget.try_spend(1.0, 10.0)
 
 
 def test_nothing_is_written_after_a_pause_past_the_deadline(lifecycle):
