--- a/libraries/bench/tarragonward_bench/harm/crashes.py
+++ b/libraries/bench/tarragonward_bench/harm/crashes.py
@@ -218,7 +218,7 @@
         target.running[attempt] = None
         request.sends.append((self.world.now, host.is_in_touch(STABLE_SECONDS)))
         if is_alone:
-            host.ledger.begin_trial(request.fingerprint, self.world.now)
+            host.ledger.begin_isolated_attempt(request.fingerprint, self.world.now)
             host.note_changed(request.fingerprint)
         wait = self.random.uniform(*BEGIN_SECONDS)
         if request.is_culprit:
--- a/libraries/gateway/tarragonward_gateway/suspects.py
+++ b/libraries/gateway/tarragonward_gateway/suspects.py
@@ -104,12 +104,12 @@
     def isolated_attempt(self, identity: RequestIdentity) -> Iterator[None]:
         """Let the other hosts know that this one tries a request."""
         fingerprint = identity.fingerprint
-        self.ledger.begin_trial(fingerprint, read_clock())
+        self.ledger.begin_isolated_attempt(fingerprint, read_clock())
         self._tell(fingerprint)
         try:
             yield
         finally:
-            self.ledger.end_trial(fingerprint)
+            self.ledger.end_isolated_attempt(fingerprint)
 
     def lift(self, fingerprint: bytes) -> bool:
         """Forget, at an operator's word, what a request has done; tell all hosts."""
--- a/libraries/requests/tarragonward_requests/exchange.py
+++ b/libraries/requests/tarragonward_requests/exchange.py
@@ -83,10 +83,10 @@
 class Blamed:
     """The request is held to end the targets that run it.
 
-    trial_seconds: for how long another host may still try it; None where it is refused.
+    wait_seconds: for how long another host may still try it; None where it is refused.
     """
 
-    trial_seconds: float | None = None
+    wait_seconds: float | None = None
 
 
 @dataclass(frozen=True)
@@ -348,7 +348,7 @@
         return exchange.choose_final_effect()
     if exchange.may_have_run:
         return Refuse(ResultCode.FORWARD_CRASHED_TARGETS)
-    if event.trial_seconds is None:
+    if event.wait_seconds is None:
         # No time to come back: a repeat would only be refused again.
         return Refuse(ResultCode.CRASHES_TARGETS)
-    return Refuse(ResultCode.ON_TRIAL, event.trial_seconds)
+    return Refuse(ResultCode.ON_TRIAL, event.wait_seconds)
--- a/libraries/requests/tarragonward_requests/suspects.py
+++ b/libraries/requests/tarragonward_requests/suspects.py
@@ -43,24 +43,24 @@
     crashes: tuple[int, ...]
     cleared: tuple[int, ...]
     idle_seconds: float
-    trial_seconds: float = 0.0
+    attempt_seconds: float = 0.0
 
     def pack(self) -> tuple[Any, ...]:
         """Return the entry as it travels."""
-        idle, trial = (
+        idle, attempt = (
             _pack_seconds(self.idle_seconds),
-            _pack_seconds(self.trial_seconds),
+            _pack_seconds(self.attempt_seconds),
         )
         targets = list(self.crashes), list(self.cleared)
-        return self.fingerprint, self.body_size, *targets, idle, trial
+        return self.fingerprint, self.body_size, *targets, idle, attempt
 
     @classmethod
     def unpack(cls, item: Any) -> SuspectEntry:
         """Return the entry that pack() gave; raise ValueError if it is not one."""
-        fingerprint, size, crashes, cleared, idle, trial = item
+        fingerprint, size, crashes, cleared, idle, attempt = item
         if type(fingerprint) is not bytes or len(fingerprint) != FINGERPRINT_BYTES:
             raise ValueError("not a fingerprint")
-        numbers = (size, idle, trial, *crashes, *cleared)
+        numbers = (size, idle, attempt, *crashes, *cleared)
         if not all(type(n) is int and 0 <= n < MAX_INTEGER for n in numbers):
             raise ValueError("a number is not one")
         if len(crashes) > c.MAX_CRASHES_PER_SUSPECT or not set(cleared) <= set(crashes):
@@ -71,7 +71,7 @@
             tuple(crashes),
             tuple(cleared),
             idle / MILLISECONDS,
-            min(trial / MILLISECONDS, c.SUSPECT_TRIAL_SECONDS),
+            min(attempt / MILLISECONDS, c.ISOLATED_ATTEMPT_SECONDS),
         )
 
 
@@ -87,7 +87,7 @@
     last_activity_at: float
     # In the order in which they became known; the values say which were cleared.
     crashes: dict[int, bool] = field(default_factory=dict)
-    trial_until: float = NEVER
+    attempt_until: float = NEVER
     # When this host itself last saw a target end under it.
     last_local_crash_at: float = NEVER
 
@@ -146,7 +146,7 @@
         return self._size_counts[body_size] > 0
 
     def evaluate(
-        self, fingerprint: bytes, now: float, is_isolated: bool = False
+        self, fingerprint: bytes, now: float, is_host_isolated: bool = False
     ) -> Verdict:
         """Return what may be done with a request.
 
@@ -162,13 +162,13 @@
             return Verdict.REFUSED
         if (
             count
-            and is_isolated
-            and now < suspect.last_local_crash_at + c.ISOLATED_RETRY_DELAY_SECONDS
+            and is_host_isolated
+            and now < suspect.last_local_crash_at + c.ISOLATED_HOST_RETRY_DELAY_SECONDS
         ):
             return Verdict.LATER
         if count < c.RUN_ALONE_AFTER_CRASHES:
             return Verdict.CLEAR
-        return Verdict.LATER if now < suspect.trial_until else Verdict.ALONE
+        return Verdict.LATER if now < suspect.attempt_until else Verdict.ALONE
 
     def count(self, fingerprint: bytes) -> int:
         """Return how many targets a request has ended, others' victims left out.
@@ -188,16 +188,16 @@
         return len(targets - explained)
 
     def get_wait_seconds(
-        self, fingerprint: bytes, now: float, is_isolated: bool = False
+        self, fingerprint: bytes, now: float, is_host_isolated: bool = False
     ) -> float:
         """Return for how long a request that is judged LATER has to wait."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return 0.0
-        until = suspect.trial_until
-        if is_isolated:
+        until = suspect.attempt_until
+        if is_host_isolated:
             until = max(
-                until, suspect.last_local_crash_at + c.ISOLATED_RETRY_DELAY_SECONDS
+                until, suspect.last_local_crash_at + c.ISOLATED_HOST_RETRY_DELAY_SECONDS
             )
         return max(0.0, until - now)
 
@@ -220,7 +220,7 @@
             return False
         suspect.clear(suspect.uncleared_targets)
         suspect.last_activity_at = max(now, suspect.last_activity_at)
-        suspect.trial_until = NEVER
+        suspect.attempt_until = NEVER
         self._update_refused(fingerprint)
         return True
 
@@ -230,17 +230,17 @@
         if suspect is not None:
             suspect.last_activity_at = max(now, suspect.last_activity_at)
 
-    def begin_trial(self, fingerprint: bytes, now: float) -> None:
+    def begin_isolated_attempt(self, fingerprint: bytes, now: float) -> None:
         """Note that this host tries a request now."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            suspect.trial_until = now + c.SUSPECT_TRIAL_SECONDS
+            suspect.attempt_until = now + c.ISOLATED_ATTEMPT_SECONDS
 
-    def end_trial(self, fingerprint: bytes) -> None:
+    def end_isolated_attempt(self, fingerprint: bytes) -> None:
         """Note that the trial is over."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
-            suspect.trial_until = NEVER
+            suspect.attempt_until = NEVER
 
     def build_entry(self, fingerprint: bytes, now: float) -> SuspectEntry | None:
         """Return what is known of a request, as it is told to other hosts."""
@@ -253,7 +253,7 @@
             tuple(suspect.crashes),
             tuple(t for t, cleared in suspect.crashes.items() if cleared),
             now - suspect.last_activity_at,
-            max(0.0, suspect.trial_until - now),
+            max(0.0, suspect.attempt_until - now),
         )
 
     def merge(self, entry: SuspectEntry, now: float, age: float = 0.0) -> bool:
@@ -274,8 +274,10 @@
         suspect.last_activity_at = max(
             suspect.last_activity_at, at - entry.idle_seconds
         )
-        if entry.trial_seconds > age:
-            suspect.trial_until = max(suspect.trial_until, at + entry.trial_seconds)
+        if entry.attempt_seconds > age:
+            suspect.attempt_until = max(
+                suspect.attempt_until, at + entry.attempt_seconds
+            )
         self._update_refused(entry.fingerprint)
         # Only a new verdict: two hosts that keep different ones of many targets would
         # tell each other, and all others, for good.
--- a/libraries/requests/tests/test_suspects.py
+++ b/libraries/requests/tests/test_suspects.py
@@ -34,19 +34,19 @@
 def test_an_isolated_host_lets_a_request_rest_after_one_crash():
     """Hosts that hear nobody each counted to three, together beyond what is allowed."""
     tracker = make_tracker(1, now=5.0)
-    ends = 5.0 + c.ISOLATED_RETRY_DELAY_SECONDS
-    assert tracker.evaluate(ONE, 5.1, is_isolated=True) is Verdict.LATER
-    assert tracker.get_wait_seconds(ONE, 5.5, is_isolated=True) == ends - 5.5
-    assert tracker.evaluate(ONE, ends, is_isolated=True) is Verdict.CLEAR
+    ends = 5.0 + c.ISOLATED_HOST_RETRY_DELAY_SECONDS
+    assert tracker.evaluate(ONE, 5.1, is_host_isolated=True) is Verdict.LATER
+    assert tracker.get_wait_seconds(ONE, 5.5, is_host_isolated=True) == ends - 5.5
+    assert tracker.evaluate(ONE, ends, is_host_isolated=True) is Verdict.CLEAR
     assert tracker.evaluate(ONE, 5.1) is Verdict.CLEAR
-    assert tracker.evaluate(OTHER, 5.1, is_isolated=True) is Verdict.CLEAR
+    assert tracker.evaluate(OTHER, 5.1, is_host_isolated=True) is Verdict.CLEAR
 
 
 def test_an_isolated_host_takes_its_peers_word_of_a_crash_for_no_reason_to_wait():
     """What peers told before they fell silent is as old as their silence."""
     tracker = make_tracker()
     assert not tracker.merge(make_tracker(1).build_entry(ONE, 0.0), 0.0)
-    assert tracker.evaluate(ONE, 0.1, is_isolated=True) is Verdict.CLEAR
+    assert tracker.evaluate(ONE, 0.1, is_host_isolated=True) is Verdict.CLEAR
 
 
 def test_a_whole_answer_acquits():
@@ -79,12 +79,12 @@
 def test_one_trial_at_a_time():
     """Hosts that all try a suspect at once would end as many targets."""
     tracker = make_tracker(1, 2)
-    tracker.begin_trial(ONE, 1.0)
+    tracker.begin_isolated_attempt(ONE, 1.0)
     peer = SuspectTracker()
     peer.merge(tracker.build_entry(ONE, 1.1), 1.1)
     assert peer.evaluate(ONE, 1.2) is Verdict.LATER
-    assert 0 < peer.get_wait_seconds(ONE, 1.2) <= c.SUSPECT_TRIAL_SECONDS
-    assert peer.evaluate(ONE, 1.1 + c.SUSPECT_TRIAL_SECONDS) is Verdict.ALONE
+    assert 0 < peer.get_wait_seconds(ONE, 1.2) <= c.ISOLATED_ATTEMPT_SECONDS
+    assert peer.evaluate(ONE, 1.1 + c.ISOLATED_ATTEMPT_SECONDS) is Verdict.ALONE
 
 
 def test_an_entry_travels_whole():
