--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -75,7 +75,7 @@
         self.limit_task = LimitTask(self.state, self.peers, self.targets)
         self.targets.get_host_view = self.peers.get_host_view
         self.operators = OperatorsTask(
-            self.state, self.targets.reach, self.forwarder.suspects
+            self.state, self.targets.target_health, self.forwarder.suspects
         )
         self.settings = SettingsTask(self.state, settings_path)
         self.settings.on_change.append(self._apply_settings)
--- a/libraries/gateway/tarragonward_gateway/cell_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/cell_gossip.py
@@ -1,4 +1,4 @@
-"""Tell hosts of other cells what lies on the engines of this host's cell."""
+"""Send the load of this cell's engines to hosts of other cells."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class CellGossip:
-    """What hosts tell beyond their cell, so that long prompts find engines there.
+    """Gossip between cells, which lets long prompts use engines of other cells.
 
-    A host of each other cell, by chance, hears in each round what all of this cell know
-    of its engines. All hosts hear at once of a long reading of this host, and again
-    while it lasts, as long as its bytes allow: with hundreds of hosts and tens of long
-    prompts a second, each host would tell and read thousands of messages.
+    In each round one random host outside this cell is sent the summary of this cell's
+    engines. A long prefill of this host is sent to all remote hosts at once, and again
+    while it lasts, within a byte rate: with hundreds of hosts and tens of long prompts
+    a second, each host would otherwise send and receive thousands of messages.
     """
 
     def __init__(
@@ -37,58 +37,58 @@
         self._peers = peers
         self._chooser = chooser
         self._background = BackgroundTasks(state.metrics)
-        self._is_telling = False
-        self._told_at = float("-inf")
-        # Bytes that may be told of readings; below zero after a message to many.
+        self._is_sending_summary = False
+        self._sent_at = float("-inf")
+        # Bytes that may be sent about prefills; negative after a message to many hosts.
         self._credit = float(c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND)
         self._credit_at = read_clock()
-        chooser.book.on_change.append(self._note_prompt)
+        chooser.book.on_change.append(self._handle_prompt_change)
         peers.add_section(SECTION, self._build, chooser.take_summary)
 
     async def async_setup(self) -> None:
-        """Begin to tell."""
-        self._background.start(TASK_NAME, self._async_tell)
+        """Start sending summaries."""
+        self._background.start(TASK_NAME, self._async_send_summaries)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop sending summaries."""
         await self._background.async_unload()
 
-    async def _async_tell(self) -> None:
+    async def _async_send_summaries(self) -> None:
         while True:
             jitter = self._state.random.uniform(0.9, 1.1)
             await asyncio.sleep(c.CELL_GOSSIP_INTERVAL_SECONDS * jitter)
-            far = self._list_far()
-            if not far:
+            remote = self._list_remote_hosts()
+            if not remote:
                 continue
-            self._is_telling = True
-            self._peers.tell_some(SECTION, [self._state.random.choice(far)])
-            self._is_telling = False
-            self._repeat_reading(far)
+            self._is_sending_summary = True
+            self._peers.tell_some(SECTION, [self._state.random.choice(remote)])
+            self._is_sending_summary = False
+            self._resend_long_prefill(remote)
 
-    def _repeat_reading(self, far: list[Address]) -> None:
+    def _resend_long_prefill(self, remote: list[Address]) -> None:
         now = read_clock()
-        is_due = now - self._told_at >= c.PREFILL_REPEAT_SECONDS
+        is_due = now - self._sent_at >= c.PREFILL_REPEAT_SECONDS
         if is_due and self._chooser.book.has_long_reading(now):
-            self._tell_reading(far, now)
+            self._send_prefill(remote, now)
 
-    def _note_prompt(self, is_long: bool) -> None:
+    def _handle_prompt_change(self, is_long: bool) -> None:
         self._peers.tell_now()
         if is_long:
-            self._tell_reading(self._list_far(), read_clock())
+            self._send_prefill(self._list_remote_hosts(), read_clock())
 
-    def _tell_reading(self, far: list[Address], now: float) -> None:
+    def _send_prefill(self, remote: list[Address], now: float) -> None:
         rate = c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND
         earned = max(0.0, now - self._credit_at) * rate
         self._credit, self._credit_at = min(rate, self._credit + earned), now
-        if self._credit <= 0 or not far:
+        if self._credit <= 0 or not remote:
             return
-        self._told_at = now
-        self._credit -= len(far) * self._peers.tell_some(PROMPTS_SECTION, far)
+        self._sent_at = now
+        self._credit -= len(remote) * self._peers.tell_some(PROMPTS_SECTION, remote)
 
-    def _list_far(self) -> list[Address]:
-        """Return the hosts that are told nothing else of prompts."""
+    def _list_remote_hosts(self) -> list[Address]:
+        """Return the hosts that are sent no other gossip about prompts."""
         members = self._peers.members
-        if len(members.get_peers()) <= MAX_MESH_PEERS or not self._is_heeded():
+        if len(members.get_peers()) <= MAX_MESH_PEERS or not self._is_used():
             return []
         mates = set(members.get_cell_peers())
         return [
@@ -97,12 +97,12 @@
             if not peer.is_leaving and peer.identity.address not in mates
         ]
 
-    def _is_heeded(self) -> bool:
-        """Return whether any prompt may go to engines of other cells."""
+    def _is_used(self) -> bool:
+        """Return whether any prompt may be sent to engines of other cells."""
         table = self._state.table
         services = table.services.values() if table is not None else ()
-        looks_beyond = self._chooser.allows_cross_cell
-        return any(s.engine is not None and looks_beyond(s.name) for s in services)
+        allows_cross_cell = self._chooser.allows_cross_cell
+        return any(s.engine is not None and allows_cross_cell(s.name) for s in services)
 
     def _build(self) -> dict[str, Any] | None:
-        return self._chooser.build_summary() if self._is_telling else None
+        return self._chooser.build_summary() if self._is_sending_summary else None
--- a/libraries/gateway/tarragonward_gateway/cells.py
+++ b/libraries/gateway/tarragonward_gateway/cells.py
@@ -1,4 +1,4 @@
-"""Keep this host's cell: the hosts that it tells all, and the engines that it uses."""
+"""Determine this host's cell: the hosts it shares all gossip with, and its engines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CellTracker:
-    """The cell for each service, worked out anew each so often from who is there."""
+    """Determines the cell for each service, periodically, from the known hosts."""
 
     def __init__(
         self, state: GatewayState, peers: Peers, clock: Callable[[], float]
@@ -27,8 +27,8 @@
         self._peers = peers
         self._clock = clock
         self._cells: dict[str, tuple[float, Cell]] = {}
-        self._place_at = float("-inf")
-        self._place = PollingOrder(1, 0)
+        self._polling_order_at = float("-inf")
+        self._polling_order = PollingOrder(1, 0)
 
     def get(self, service: str) -> Cell:
         """Return this host's cell among the engines of a service."""
@@ -47,22 +47,24 @@
             )
         self._cells[service] = now, new
         if new != cell:
-            self._tell_mates()
+            self._update_mates()
         return new
 
     def get_polling_order(self) -> PollingOrder:
-        """Return this host's place among those that ask for what is published."""
+        """Return this host's position among the hosts that poll the source."""
         now = self._clock()
-        if now - self._place_at < c.POLLING_ORDER_REFRESH_SECONDS:
-            return self._place
-        old, self._place_at = self._place, now
-        self._place = choose_polling_order(self._locate_own(), self._list_hosts())
-        if self._place.group != old.group:
-            self._tell_mates()
-        return self._place
-
-    def _tell_mates(self) -> None:
-        names = set(self._place.group)
+        if now - self._polling_order_at < c.POLLING_ORDER_REFRESH_SECONDS:
+            return self._polling_order
+        old, self._polling_order_at = self._polling_order, now
+        self._polling_order = choose_polling_order(
+            self._get_own_location(), self._list_hosts()
+        )
+        if self._polling_order.group != old.group:
+            self._update_mates()
+        return self._polling_order
+
+    def _update_mates(self) -> None:
+        names = set(self._polling_order.group)
         for _, cell in self._cells.values():
             names |= cell.hosts
         self._peers.set_mates([Address.parse(name) for name in names])
@@ -71,15 +73,16 @@
         hosts = [host.located for host in self._list_hosts()]
         ready = self._state.registry.get_ready(service)
         engines = [_locate(target) for target in ready]
-        return choose_cell(self._locate_own(), hosts, engines)
+        return choose_cell(self._get_own_location(), hosts, engines)
 
-    def _locate_own(self) -> Located:
+    def _get_own_location(self) -> Located:
         settings = self._state.settings
         return Located(str(settings.peers), settings.failure_domain)
 
     def _list_hosts(self) -> list[KnownHost]:
         now = read_clock()
-        # A host is known by others' word before it was heard itself, so by address.
+        # A host is reported by others before it is heard itself, so it is known by its
+        # address.
         return [
             KnownHost(
                 Located(str(peer.identity.address), peer.failure_domain),
--- a/libraries/gateway/tarragonward_gateway/idle_timeout.py
+++ b/libraries/gateway/tarragonward_gateway/idle_timeout.py
@@ -35,33 +35,33 @@
         self,
         first_seconds: float,
         pause_seconds: float,
-        may_leave: Callable[[], bool],
+        may_abandon: Callable[[], bool],
         overdue_seconds: float = math.inf,
-        gains_elsewhere: Callable[[], bool] = lambda: False,
+        is_faster_elsewhere: Callable[[], bool] = lambda: False,
     ) -> None:
         self._first_seconds = first_seconds
         self._overdue_seconds = overdue_seconds
-        self._gains_elsewhere = gains_elsewhere
+        self._is_faster_elsewhere = is_faster_elsewhere
         self._silent_at = math.inf
         self._pause_seconds = pause_seconds
-        self._may_leave = may_leave
+        self._may_abandon = may_abandon
         self._loop = asyncio.get_running_loop()
         self._scope = asyncio.timeout(None)
         self._timer: asyncio.TimerHandle | None = None
-        self._is_leaving = False
+        self._is_abandoning = False
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Leave the target now, or once what came from it has been given on."""
         # While events are given on, an end would cut one in two.
-        self._is_leaving = True
+        self._is_abandoning = True
         if self._timer is not None:
-            self._arm(0.0)
+            self._start_timer(0.0)
 
     async def __aenter__(self) -> IdleTimeout:
         """Begin to wait for the first event."""
         await self._scope.__aenter__()
         self._silent_at = self._loop.time() + self._first_seconds
-        self._arm(min(self._first_seconds, self._overdue_seconds))
+        self._start_timer(min(self._first_seconds, self._overdue_seconds))
         return self
 
     async def __aexit__(
@@ -75,7 +75,7 @@
         try:
             await self._scope.__aexit__(kind, error, trace)
         except TimeoutError as err:
-            if self._is_leaving:
+            if self._is_abandoning:
                 raise StreamMovedError("held up by a reading") from err
             raise TargetSilentError("no event in time") from err
 
@@ -88,18 +88,18 @@
     def resume(self) -> None:
         """Wait for the next event."""
         self._silent_at = self._loop.time() + self._pause_seconds
-        self._arm(0.0 if self._is_leaving else self._pause_seconds)
+        self._start_timer(0.0 if self._is_abandoning else self._pause_seconds)
 
-    def _arm(self, seconds: float) -> None:
+    def _start_timer(self, seconds: float) -> None:
         self.pause()
-        self._timer = self._loop.call_later(seconds, self._decide)
+        self._timer = self._loop.call_later(seconds, self._check)
 
-    def _decide(self) -> None:
+    def _check(self) -> None:
         now = self._loop.time()
-        is_silent = now >= self._silent_at and self._may_leave()
-        if not is_silent and not self._is_leaving:
-            self._is_leaving = self._gains_elsewhere()
-        if is_silent or self._is_leaving:
+        is_silent = now >= self._silent_at and self._may_abandon()
+        if not is_silent and not self._is_abandoning:
+            self._is_abandoning = self._is_faster_elsewhere()
+        if is_silent or self._is_abandoning:
             self._scope.reschedule(now)
         else:
-            self._arm(c.SILENCE_RECHECK_SECONDS)
+            self._start_timer(c.SILENCE_RECHECK_SECONDS)
--- a/libraries/gateway/tarragonward_gateway/limit_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/limit_gossip.py
@@ -21,22 +21,22 @@
 
     def __init__(self, limits: TargetLimits) -> None:
         self._limits = limits
-        self._news: dict[int, None] = {}
-        self._turn = Rotation()
+        self._pending: dict[int, None] = {}
+        self._rotation = Rotation()
 
     def note_changed(self, number: int) -> None:
         """Note that all should hear of a target's limit."""
-        self._news[number] = None
+        self._pending[number] = None
 
     def take_pending(self) -> list[list[int]]:
         """Return the targets to tell of now, as many at a time as a message holds."""
-        news, self._news = list(self._news), {}
+        news, self._pending = list(self._pending), {}
         size = c.MAX_LIMITS_PER_MESSAGE
         return [news[start : start + size] for start in range(0, len(news), size)]
 
     def choose_next(self) -> list[int]:
         """Return a few of all targets that name limits, others at each call."""
-        return self._turn.take(list(self._limits.iterate()), c.MAX_LIMITS_PER_ROUND)
+        return self._rotation.take(list(self._limits.iterate()), c.MAX_LIMITS_PER_ROUND)
 
     def build(self, numbers: Iterable[int], now: float) -> list[Any]:
         """Return what is known of these targets, as it travels."""
@@ -49,4 +49,4 @@
             entry = LimitEntry.unpack(item)
             if self._limits.take(entry, now, age):
                 # The other host has told all of it.
-                self._news.pop(entry.number, None)
+                self._pending.pop(entry.number, None)
--- a/libraries/gateway/tarragonward_gateway/limit_task.py
+++ b/libraries/gateway/tarragonward_gateway/limit_task.py
@@ -32,7 +32,7 @@
         self._limits = chooser.limits
         self._background = BackgroundTasks(state.metrics)
         self._gossip = LimitGossip(chooser.limits)
-        self._telling: list[int] = []
+        self._outgoing: list[int] = []
         self._timer: asyncio.TimerHandle | None = None
         chooser.on_limit.append(self._note_changed)
         peers.add_section(SECTION, self._build, self._take)
@@ -61,17 +61,17 @@
         self._gossip.note_changed(number)
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(c.LIMIT_BATCH_SECONDS, self._tell)
+            self._timer = loop.call_later(c.LIMIT_BATCH_SECONDS, self._send)
 
-    def _tell(self) -> None:
+    def _send(self) -> None:
         self._timer = None
         for numbers in self._gossip.take_pending():
-            self._telling = numbers
+            self._outgoing = numbers
             self._peers.tell_all(SECTION)
-        self._telling = []
+        self._outgoing = []
 
     def _build(self) -> list[Any] | None:
-        told = self._telling or self._gossip.choose_next()
+        told = self._outgoing or self._gossip.choose_next()
         return self._gossip.build(told, read_clock()) or None
 
     def _take(self, host: str, data: Any, age: float) -> None:
--- a/libraries/gateway/tarragonward_gateway/moving.py
+++ b/libraries/gateway/tarragonward_gateway/moving.py
@@ -38,17 +38,17 @@
         self._build_need = build_need
         self._loop = asyncio.get_running_loop()
         self.is_moving = False
-        self.repeat_at: float | None = None
+        self.retry_at: float | None = None
 
-    def consider(
-        self, choice: SendChoice, watch: IdleTimeout, work: EngineWork
+    def consider_move(
+        self, choice: SendChoice, idle_timeout: IdleTimeout, work: EngineWork
     ) -> None:
         """Leave the target where another one would go on in time."""
         need = self._build_need()
-        if not self._may_move(need) or not self._gains(choice, need, work):
+        if not self._may_move(need) or not self._gains_by_moving(choice, need, work):
             return
-        self._begin(need)
-        watch.leave()
+        self._begin_move(need)
+        idle_timeout.abandon()
 
     def try_move_overdue(self) -> bool:
         """Return whether to leave a target whose first event is overdue, and note it.
@@ -68,18 +68,18 @@
         left = need.aim_at - self._loop.time()
         if other.plan.first_event_seconds > left * c.OVERDUE_MAX_MOVE_SHARE:
             return False
-        self._begin(need)
+        self._begin_move(need)
         return True
 
-    def _begin(self, need: TargetNeed) -> None:
+    def _begin_move(self, need: TargetNeed) -> None:
         self.is_moving = True
-        self.repeat_at = self._state.record_repeat(need.service)
+        self.retry_at = self._state.record_repeat(need.service)
 
     def cancel_move(self) -> None:
         """Give the repeat back where the answer ended before the target was left."""
-        if self.is_moving and self.repeat_at is not None:
+        if self.is_moving and self.retry_at is not None:
             service = self._build_need().service
-            self._state.budget.refund_retry(service, self.repeat_at)
+            self._state.budget.refund_retry(service, self.retry_at)
         self.is_moving = False
 
     def _may_move(self, need: TargetNeed) -> bool:
@@ -87,10 +87,12 @@
             not self.is_moving
             and not self._exchange.has_ended
             and self._exchange.can_send_again(self._loop.time())
-            and self._state.may_repeat(need.service, is_urgent=False)
+            and self._state.can_retry(need.service, is_urgent=False)
         )
 
-    def _gains(self, choice: SendChoice, need: TargetNeed, work: EngineWork) -> bool:
+    def _gains_by_moving(
+        self, choice: SendChoice, need: TargetNeed, work: EngineWork
+    ) -> bool:
         plan = choice.plan
         assert plan is not None
         if plan.tickets:
--- a/libraries/gateway/tarragonward_gateway/operators.py
+++ b/libraries/gateway/tarragonward_gateway/operators.py
@@ -47,7 +47,10 @@
     """
 
     def __init__(
-        self, state: GatewayState, reach: TargetHealthTracker, suspects: SuspectMonitor
+        self,
+        state: GatewayState,
+        target_health: TargetHealthTracker,
+        suspects: SuspectMonitor,
     ) -> None:
         self._state = state
         self._suspects = suspects
@@ -56,10 +59,14 @@
         self._background = BackgroundTasks(state.metrics)
         _add_gauges(state)
         state.metrics.add_gauge(
-            "targets_resting", "in doubt and left out", lambda: reach.ejected_count
+            "targets_resting",
+            "in doubt and left out",
+            lambda: target_health.ejected_count,
         )
         state.metrics.add_gauge(
-            "domains_resting", "no link to them", lambda: reach.ejected_domain_count
+            "domains_resting",
+            "no link to them",
+            lambda: target_health.ejected_domain_count,
         )
         state.metrics.add_gauge(
             "suspects",
--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -1,4 +1,4 @@
-"""Find a target for each send of one request, with the memory that it needs."""
+"""Choose the target of each send of a request and reserve the memory it needs."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 
 class SendPlacer:
-    """The targets that a request was sent to, and where it goes next.
+    """Tracks the targets that a request was sent to and chooses the next one.
 
-    left is the last target that was left while it was at work. A suspect, under which
-    targets have ended, is sent where nothing else is in progress.
+    abandoned is the last target that was abandoned while it may have been working on
+    the request. is_suspect: targets have crashed while running the request, so it is
+    sent where no other request is in progress.
     """
 
     def __init__(
@@ -49,45 +50,46 @@
         self.is_suspect = False
 
     def record_chosen(self, target: RegisteredTarget) -> None:
-        """Note that the request goes to a target."""
+        """Record the target that the request is sent to."""
         self.tried.add(target.id)
         self._leader = target.id
 
-    async def async_place(self, returns: bool) -> PlacedSend | None:
-        """Return where to send next, None where no target is left.
+    async def async_place(self, to_previous_target: bool) -> PlacedSend | None:
+        """Return the next send, or None if no target remains.
 
-        returns: to the target where a stream came from, or to the last one.
+        to_previous_target: resend to the target that the stream came from, or else to
+        the last one.
         """
         leader = (self._exchange.is_started and self.abandoned) or self._leader
-        placed = await self._async_place(leader if returns else "")
-        if placed is None and returns:
+        placement = await self._async_place(leader if to_previous_target else "")
+        if placement is None and to_previous_target:
             self._exchange.cancel_resend()
             if self._exchange.can_send_again(self._loop.time()):
-                placed = await self._async_place()
-        if placed is None and self.abandoned:
-            placed = await self._async_place_again()
-        return placed
-
-    async def _async_place_again(self) -> PlacedSend | None:
-        """Return the target that was left while it was at work, if it may be sent to.
-
-        The one that the request left for may be dead, and nobody has found out yet.
-        Symptom: the caller hears that its request may have run, or its stream is broken
-        off, though the engine that it came from is well. It has had the request
-        already, so it is not one more target.
+                placement = await self._async_place()
+        if placement is None and self.abandoned:
+            placement = await self._async_place_at_abandoned()
+        return placement
+
+    async def _async_place_at_abandoned(self) -> PlacedSend | None:
+        """Return the abandoned target, if the request may be sent again.
+
+        The target that the request moved to may be dead without any host knowing yet.
+        Without the way back the caller would be told that its request may have run, or
+        its stream would be aborted, though the abandoned engine is healthy. That one
+        has had the request already, so it does not count as a further target.
         """
-        left, self.abandoned = self.abandoned, ""
+        abandoned, self.abandoned = self.abandoned, ""
         if not self._exchange.can_send_again(self._loop.time()):
             return None
-        return await self._async_place(left)
+        return await self._async_place(abandoned)
 
     async def _async_place(self, leader: str = "") -> PlacedSend | None:
-        """Return where to send, with the memory held where one engine has too little.
+        """Choose a send, and reserve memory if the prompt exceeds one engine's.
 
-        Where a leader is given, it is the one that is to answer.
+        leader: the engine that has to answer, if that is fixed.
 
-        Hosts that refuse each other's groups try again after random times, so that one
-        of them comes first.
+        Reservations of different hosts can block each other, so a refused group is
+        tried again after a random delay, which lets one host succeed first.
         """
         for attempt in range(c.MAX_RESERVATION_ATTEMPTS):
             choice = self._chooser.choose(self.build_need(leader))
@@ -98,7 +100,7 @@
                 with self._chooser.track_in_flight(choice):
                     are_reached = await self._chooser.probes.async_check(choice.helpers)
                 if not are_reached:
-                    self._chooser.return_send(choice.target)
+                    self._chooser.cancel_send(choice.target)
                     continue
             if not choice.needs_tickets:
                 return choice, None
@@ -106,14 +108,14 @@
                 held = await self._reservations.async_reserve(choice)
             if isinstance(held, Lease):
                 return choice, held
-            self._chooser.return_send(choice.target)
+            self._chooser.cancel_send(choice.target)
             self._chooser.note_full(held)
             wait = c.RESERVATION_RETRY_SECONDS * 2**attempt
             await asyncio.sleep(self._state.random.random() * wait)
         return None
 
     def build_need(self, leader: str = "") -> TargetNeed:
-        """Return what the next target must be fit for."""
+        """Return the requirements on the next target."""
         return TargetNeed(
             service=self._context.service,
             route=self._route,
@@ -125,7 +127,7 @@
         )
 
     def _compute_aim_at(self) -> float:
-        """Return when the next event is due: the first one's aim, then the pause's."""
+        """Return when the next event is due by the route's aim or pause aim."""
         if self._exchange.is_started:
             return self._loop.time() + self._route.pause_aim_seconds
         return self._context.received_at + self._route.aim_seconds
--- a/libraries/gateway/tarragonward_gateway/probes.py
+++ b/libraries/gateway/tarragonward_gateway/probes.py
@@ -36,23 +36,23 @@
 class TargetProber:
     """Probes what TargetHealthTracker selects, reports results to it, logs changes."""
 
-    def __init__(self, state: GatewayState, reach: TargetHealthTracker) -> None:
+    def __init__(self, state: GatewayState, target_health: TargetHealthTracker) -> None:
         self._state = state
-        self._reach = reach
+        self._reach = target_health
         self._probing: set[asyncio.Task[bool]] = set()
         # By target: the connection that shows whether it has ended.
-        self._ending: dict[str, asyncio.Task[bool]] = {}
+        self._end_checks: dict[str, asyncio.Task[bool]] = {}
         self._background = BackgroundTasks(state.metrics)
 
     async def async_setup(self) -> None:
         """Begin to try what is in doubt."""
         # Were the loop to end by a fault, what is in doubt would stay out for good.
-        self._background.start(TASK_NAME, self._async_try)
+        self._background.start(TASK_NAME, self._async_probe_due)
 
     async def async_unload(self) -> None:
         """Stop to try."""
         await self._background.async_unload()
-        probing = [*self._probing, *self._ending.values()]
+        probing = [*self._probing, *self._end_checks.values()]
         for task in probing:
             task.cancel()
         await asyncio.gather(*probing, return_exceptions=True)
@@ -117,11 +117,11 @@
 
         All requests that it lost at once share one connection.
         """
-        task = self._ending.get(target.id)
+        task = self._end_checks.get(target.id)
         if task is None:
             task = asyncio.create_task(self._async_note_ended(target))
-            self._ending[target.id] = task
-            task.add_done_callback(lambda _: self._ending.pop(target.id, None))
+            self._end_checks[target.id] = task
+            task.add_done_callback(lambda _: self._end_checks.pop(target.id, None))
         return await asyncio.shield(task)
 
     async def _async_note_ended(self, target: RegisteredTarget) -> bool:
@@ -130,7 +130,7 @@
         self.record(target, Evidence.ENDED)
         return True
 
-    async def _async_try(self) -> None:
+    async def _async_probe_due(self) -> None:
         while True:
             await asyncio.sleep(c.TARGET_PROBE_INTERVAL_SECONDS)
             registered = self._state.registry.get_all()
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -153,14 +153,14 @@
         now = self._loop.time()
         service, is_started = self._context.service, self._exchange.is_started
         is_sends_end = isinstance(event, (SendFailed, TargetAnswered))
-        may_repeat = is_sends_end and (
+        can_retry = is_sends_end and (
             self._mover.is_moving
-            or self._state.may_repeat(service, is_urgent=is_started)
+            or self._state.can_retry(service, is_urgent=is_started)
         )
-        effect = self._exchange.handle(event, now, has_budget=may_repeat)
+        effect = self._exchange.handle(event, now, has_budget=can_retry)
         if isinstance(effect, SendTo) and effect.is_retry:
             self._repeat_at = (
-                self._mover.repeat_at
+                self._mover.retry_at
                 if self._mover.is_moving
                 else self._state.record_repeat(service)
             )
@@ -220,7 +220,7 @@
         except NotConnectedError as err:
             event = SendFailed(SendFault.NOT_CONNECTED)
             self._return_repeat()
-            self._chooser.return_send(target)
+            self._chooser.cancel_send(target)
             self._log_failed(target, event, err)
         except StreamMovedError as err:
             self._placer.abandoned = target.id
@@ -316,7 +316,7 @@
             may_send = (
                 self._exchange.can_send_again(now)
                 and left > plan.first_event_seconds + c.SILENCE_MIN_REMAINING_SECONDS
-                and self._state.may_repeat(
+                and self._state.can_retry(
                     self._context.service, is_urgent=self._exchange.is_started
                 )
             )
@@ -337,7 +337,7 @@
         self, choice: SendChoice, watch: IdleTimeout, work: EngineWork
     ) -> None:
         self._observer.note_reading(work.reading_seconds)
-        self._mover.consider(choice, watch, work)
+        self._mover.consider_move(choice, watch, work)
 
     def _build_headers(
         self, choice: SendChoice, effect: SendTo, left: float
--- a/libraries/gateway/tarragonward_gateway/state.py
+++ b/libraries/gateway/tarragonward_gateway/state.py
@@ -1,4 +1,4 @@
-"""Hold what the tasks of one forwarding host share."""
+"""State that the tasks of one gateway host share."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class GatewayState:
-    """The settings, the routing table in force, the targets, and whether it leaves."""
+    """Settings, routing table, target registry, retry budget and drain state."""
 
     settings: GatewaySettings
     headers: HeaderNames
@@ -39,11 +39,11 @@
     budget: SharedRetryBudget = field(init=False)
 
     def __post_init__(self) -> None:
-        """Take the bounds of repeats from the settings."""
+        """Create the retry budget from the settings."""
         self.budget = SharedRetryBudget(self._get_budget_bounds(), read_clock())
 
     def apply_bounds(self) -> None:
-        """Take over the bounds of changed settings."""
+        """Apply the retry bounds after the settings have changed."""
         self.budget.bounds = self._get_budget_bounds()
 
     def _get_budget_bounds(self) -> RetryBudgetBounds:
@@ -53,32 +53,32 @@
         )
 
     def get_connection_limit(self, service: str) -> int | None:
-        """Return how many connections this host may have to a target of a service."""
+        """Return this host's connection limit per target of a service, if known."""
         found = self.table.services.get(service) if self.table is not None else None
         if found is None:
             return None
         return max(1, found.max_connections // self.count_sharing_hosts())
 
     def record_request(self, service: str) -> None:
-        """Let the budget of repeats grow by a caller's request."""
+        """Credit the retry budget for a request received from a caller."""
         self.budget.record_request(service, read_clock())
 
-    def may_repeat(self, service: str, is_urgent: bool) -> bool:
-        """Return whether one more repeat is within this host's part of the budget."""
+    def can_retry(self, service: str, is_urgent: bool) -> bool:
+        """Return whether one more retry is within this host's part of the budget."""
         hosts = self.count_sharing_hosts()
         return self.budget.can_retry(service, hosts, read_clock(), is_urgent)
 
     def record_repeat(self, service: str) -> float:
-        """Count a repeat that was decided on; nothing may come in between.
+        """Charge the budget for a retry, without awaiting after can_retry().
 
-        Return when that was, for a repeat that is never sent.
+        Return the time, which refunds a retry that is never sent.
         """
         now = read_clock()
         self.budget.record_retry(service, self.count_sharing_hosts(), now)
         return now
 
     def install_table(self, table: RoutingTable) -> bool:
-        """Put a table in force unless a newer one is; return whether it was."""
+        """Replace the routing table if the given one is newer; return whether it is."""
         if self.table is not None and table.version <= self.table.version:
             return False
         self.table = table
--- a/libraries/gateway/tarragonward_gateway/suspect_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_gossip.py
@@ -47,7 +47,7 @@
         self._members = members
         self._random = rng
         self._due: dict[bytes, float] = {}
-        self._turn = Rotation()
+        self._rotation = Rotation()
 
     @property
     def due_at(self) -> float | None:
@@ -65,12 +65,12 @@
         by_hosts: dict[tuple[Address, ...], list[bytes]] = defaultdict(list)
         for fingerprint in [f for f, due_at in self._due.items() if due_at <= now]:
             del self._due[fingerprint]
-            by_hosts[self._choose_told(fingerprint)].append(fingerprint)
+            by_hosts[self._choose_recipients(fingerprint)].append(fingerprint)
         size = c.MAX_SUSPECTS_PER_MESSAGE
         return [
-            SuspectMessage(hosts, tuple(told[start : start + size]))
-            for hosts, told in by_hosts.items()
-            for start in range(0, len(told), size)
+            SuspectMessage(hosts, tuple(sent[start : start + size]))
+            for hosts, sent in by_hosts.items()
+            for start in range(0, len(sent), size)
         ]
 
     def build(self, fingerprints: Iterable[bytes], now: float) -> list[Any]:
@@ -85,7 +85,7 @@
             for fingerprint, suspect in self._ledger.items()
             if len(suspect.crashes) >= RUN_ALONE_AFTER_CRASHES
         ]
-        return self._turn.take(known, c.MAX_SUSPECTS_PER_ROUND)
+        return self._rotation.take(known, c.MAX_SUSPECTS_PER_ROUND)
 
     def take(self, data: Iterable[Any], age: float, now: float) -> None:
         """Take what another host told; raise ValueError where it is malformed."""
@@ -94,10 +94,10 @@
             if self._ledger.merge(entry, now, age):
                 turn = self._random.random() * c.SUSPECT_RELAY_JITTER_SECONDS
                 self.note_changed(entry.fingerprint, now, turn)
-            elif self._knows_no_more(entry):
+            elif self._is_covered_by(entry):
                 self._due.pop(entry.fingerprint, None)
 
-    def _choose_told(self, fingerprint: bytes) -> tuple[Address, ...]:
+    def _choose_recipients(self, fingerprint: bytes) -> tuple[Address, ...]:
         peers = self._members.get_peers()
         suspect = self._ledger.get(fingerprint)
         is_for_all = suspect is None or len(suspect.crashes) >= RUN_ALONE_AFTER_CRASHES
@@ -105,7 +105,7 @@
             return tuple(peer.identity.address for peer in peers)
         return choose_aggregators(fingerprint, peers)
 
-    def _knows_no_more(self, entry: SuspectEntry) -> bool:
+    def _is_covered_by(self, entry: SuspectEntry) -> bool:
         """Return whether all that this host knows of a request was just told."""
         suspect = self._ledger.get(entry.fingerprint)
         return suspect is not None and set(entry.crashes).issuperset(suspect.crashes)
--- a/libraries/gateway/tarragonward_gateway/suspect_task.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_task.py
@@ -32,7 +32,7 @@
         self._gossip = SuspectGossip(suspects.ledger, peers.members, state.random)
         self._background = BackgroundTasks(state.metrics)
         self._timer: asyncio.TimerHandle | None = None
-        self._telling: Iterable[bytes] = ()
+        self._outgoing: Iterable[bytes] = ()
         suspects.on_change.append(self._note_changed)
         suspects.is_isolated = lambda: peers.members.is_isolated
         peers.add_section(SECTION, self._build, self._take)
@@ -64,17 +64,17 @@
         if due_at is not None:
             wait = max(0.0, due_at - read_clock())
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(wait, self._tell_due)
+            self._timer = loop.call_later(wait, self._send_due)
 
-    def _tell_due(self) -> None:
+    def _send_due(self) -> None:
         for news in self._gossip.take_due(read_clock()):
-            self._telling = news.fingerprints
+            self._outgoing = news.fingerprints
             self._peers.tell_some(SECTION, news.hosts)
-        self._telling = ()
+        self._outgoing = ()
         self._arm()
 
     def _build(self) -> list[Any] | None:
-        told = self._telling or self._gossip.choose_next()
+        told = self._outgoing or self._gossip.choose_next()
         return self._gossip.build(told, read_clock()) or None
 
     def _take(self, host: str, data: Any, age: float) -> None:
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -1,4 +1,4 @@
-"""Choose the targets of a send, and count what this host has in flight on each."""
+"""Choose the targets of a send and track this host's requests in flight on each."""
 
 from __future__ import annotations
 
@@ -37,34 +37,37 @@
 __all__ = ["SECTION", "SendChoice", "TargetChooser", "TargetNeed"]
 
 SECTION = "prompts"
-MAX_ORDERED = 4_096
+MAX_CACHED_ORDER_KEYS = 4_096
 LOAD_SEPARATOR = ","
 LOAD_FIELDS = 3
-ALONE = HostView("", frozenset({""}), 1)
+SINGLE_HOST_VIEW = HostView("", frozenset({""}), 1)
 
 
 @dataclass(frozen=True)
 class TargetNeed:
-    """A send to be placed; tokens are None where the request is no prompt."""
+    """Requirements of a send on its target.
+
+    tokens are those of the prompt and of the answer, None if the request is no prompt.
+    """
 
     service: str
     route: Route
     aim_at: float
     tokens: tuple[int, int] | None = None
     tried: Collection[str] = ()
-    # The one that is to answer, where that is settled.
+    # The engine that has to answer, if that is fixed.
     leader: str = ""
-    # Whether targets have ended under the request.
+    # Whether targets have crashed while running the request.
     is_suspect: bool = False
 
     def allows(self, target: RegisteredTarget) -> bool:
-        """Return whether the request may still go to a target."""
+        """Return whether the request may be sent to a target."""
         return target.id not in self.tried or target.id == self.leader
 
 
 @dataclass
 class SendChoice:
-    """The target of a send, and the engines that help it to read the prompt."""
+    """The target of a send, and the helper engines that share its prefill."""
 
     target: RegisteredTarget
     helpers: tuple[RegisteredTarget, ...] = ()
@@ -75,14 +78,14 @@
     reading_since: float | None = None
 
     def note_first_event(self, now: float) -> None:
-        """Note that the prompt has been read."""
+        """Record that the first event arrived, so the prefill is complete."""
         if self.work is not None and self.work.first_event_at is None:
             self.work.first_event_at = now
 
     def compute_pace(self, events: int, now: float) -> float | None:
-        """Return how many times as long as published the passes of new events took.
+        """Return the ratio of observed to published time per decode pass.
 
-        Each event is of one pass. None for the first one, which waits for the reading.
+        Each event takes one pass. None for the first event, which includes the prefill.
         """
         since = self.reading_since
         if since is None or self.plan is None or not self.plan.pass_seconds:
@@ -91,14 +94,14 @@
 
     @property
     def predicted_at(self) -> float | None:
-        """Return when the first event is predicted, None where nothing was."""
+        """Return the predicted time of the first event, None without a plan."""
         if self.plan is None or self.work is None:
             return None
         return self.work.placed_at + self.plan.first_event_seconds
 
     @property
     def helpers_header(self) -> str:
-        """Return the helpers as they are told to the target."""
+        """Return the value of the header that names the helpers to the target."""
         assert self.plan is not None
         tickets = self.plan.tickets
         return ",".join(
@@ -110,53 +113,58 @@
 
     @property
     def needs_tickets(self) -> bool:
-        """Return whether the prompt lies on several engines."""
+        """Return whether memory has to be reserved on other engines."""
         return self.plan is not None and bool(self.plan.tickets)
 
 
 class TargetChooser:
-    """Choose by what is known of all targets, and keep this host's share of it."""
+    """Chooses targets by the load of all hosts and tracks this host's own load."""
 
     def __init__(self, state: GatewayState, clock: Callable[[], float]) -> None:
         self._state = state
         self._clock = clock
         self._in_flight: Counter[str] = Counter()
-        # The targets at which suspects of this host are tried.
-        self._kept_clear: Counter[str] = Counter()
+        # Targets to which this host has sent a suspect request.
+        self._isolated: Counter[str] = Counter()
         self.book = FleetBook()
-        # The engines that this host uses, by service; all where nothing is set.
+        # Returns this host's cell for a service; without it all engines are used.
         self.get_cell: Callable[[str], Cell] | None = None
-        self._streams: dict[str, dict[Callable[[EngineWork], None], None]] = {}
-        self.book.on_reading.append(self._note_reading)
-        # What targets themselves take a second.
+        self._prefill_callbacks: dict[
+            str, dict[Callable[[EngineWork], None], None]
+        ] = {}
+        self.book.on_reading.append(self._notify_prefill)
+        # The request rates to which targets have limited all hosts together.
         self.limits = TargetLimits(state.random)
         self.on_limit: list[Callable[[int], None]] = []
-        self.get_host_view: Callable[[], HostView] = lambda: ALONE
-        self.reach = TargetHealthTracker()
-        self.probes = TargetProber(state, self.reach)
+        self.get_host_view: Callable[[], HostView] = lambda: SINGLE_HOST_VIEW
+        self.target_health = TargetHealthTracker()
+        self.probes = TargetProber(state, self.target_health)
 
     def build_digest(self) -> dict[str, list[Any]]:
-        """Return this host's prompts in flight, to be told to the other hosts."""
+        """Return this host's prompts in flight for the gossip to other hosts."""
         return self.book.build_digest(self._clock())
 
     def take_digest(self, host: str, data: Any, age_seconds: float) -> None:
-        """Take what another host told of its prompts in flight."""
+        """Apply another host's report of its prompts in flight."""
         self.book.take_digest(host, data, age_seconds, self._clock())
 
     def choose(self, need: TargetNeed) -> SendChoice | None:
-        """Return where to send, or None where no target is left."""
+        """Choose a target and record the send; return None if no target remains."""
         choice = self.find(need)
         if choice is not None:
-            self.reach.start_trial(choice.target, read_clock())
+            self.target_health.start_trial(choice.target, read_clock())
             self.limits.record_send(hash_name(choice.target.id))
         return choice
 
-    def return_send(self, target: RegisteredTarget) -> None:
-        """Note that a target that was chosen is sent nothing."""
+    def cancel_send(self, target: RegisteredTarget) -> None:
+        """Undo the record of a send to a target that was chosen and sent nothing."""
         self.limits.return_send(hash_name(target.id))
 
     def compute_wait(self, need: TargetNeed) -> float | None:
-        """Return when a target that names a limit takes one more, None for no such."""
+        """Return the seconds until a rate-limited target accepts a request.
+
+        None if no ready target of the service has a rate limit.
+        """
         now, view = read_clock(), self.get_host_view()
         waits = [
             self.limits.compute_wait(number, view, now)
@@ -166,44 +174,44 @@
         return min(*waits, MAX_LIMIT_WAIT_SECONDS) if waits else None
 
     def find_alternative(self, need: TargetNeed) -> SendChoice | None:
-        """Return where a request that a target has already would go in its place.
+        """Return a target to which a request that is already at one could move.
 
-        What is in doubt is the idlest by all that is known. Symptom, where it counts: a
-        request leaves its place at an engine that is well for one that is dead, comes
-        back to a full queue, and is refused or broken off. A trial by a request that
-        has no place yet finds out as soon.
+        An ejected target has no reported load, so it looks like the best choice. A
+        request that moved there would leave its place in the queue of a healthy engine
+        for a dead one, return to a full queue, and be refused or aborted. Requests
+        without a place in a queue show just as soon whether the target has recovered.
         """
         choice = self.find(need)
-        if choice is None or self.reach.is_ejected(choice.target):
+        if choice is None or self.target_health.is_ejected(choice.target):
             return None
         return choice
 
     def find(self, need: TargetNeed) -> SendChoice | None:
-        """Return where a send would go now, without one: no target is tried by it."""
+        """Return the target that a send would go to now, without recording a send."""
         ready = [
             target
             for target in self._state.registry.get_ready(need.service)
             if need.allows(target) and self._has_connection(target)
         ]
-        ready = self._keep_to_limits(ready)
+        ready = self._filter_limited(ready)
         if not ready:
             return None
         now = read_clock()
-        awake = self.reach.select(ready, now)
+        healthy = self.target_health.select(ready, now)
         if need.leader:
-            # It is settled, in doubt or not; its helpers are not.
-            settled = [target for target in ready if target.id == need.leader]
-            if not settled:
+            # The leader is fixed even if it is ejected; its helpers must be healthy.
+            leaders = [target for target in ready if target.id == need.leader]
+            if not leaders:
                 return None
-            others = (target for target in awake if target.id != need.leader)
-            awake = [*settled, *others]
+            others = (target for target in healthy if target.id != need.leader)
+            healthy = [*leaders, *others]
         if need.is_suspect and not need.leader:
-            awake = self._choose_idle(awake)
-        elif self._kept_clear and not need.leader:
-            awake = [t for t in awake if t.id not in self._kept_clear] or awake
-        choice = self._choose_among(awake, need)
-        if choice is None and len(awake) < len(ready) and not need.leader:
-            # A long prompt may need more engines than those known to be in reach.
+            healthy = self._choose_for_isolation(healthy)
+        elif self._isolated and not need.leader:
+            healthy = [t for t in healthy if t.id not in self._isolated] or healthy
+        choice = self._choose_among(healthy, need)
+        if choice is None and len(healthy) < len(ready) and not need.leader:
+            # A long prompt may need more engines than the healthy ones.
             choice = self._choose_among(ready, need)
         return choice
 
@@ -216,52 +224,52 @@
             return SendChoice(self._choose_least_busy(ready))
         return self._plan(need, ready, service)
 
-    def _keep_to_limits(self, ready: list[RegisteredTarget]) -> list[RegisteredTarget]:
-        """Return the targets that take one more request of this host now."""
+    def _filter_limited(self, ready: list[RegisteredTarget]) -> list[RegisteredTarget]:
+        """Return the targets whose rate limits allow one more request of this host."""
         if not len(self.limits):
             return ready
         now, view = read_clock(), self.get_host_view()
         may_send = self.limits.may_send
         return [t for t in ready if may_send(hash_name(t.id), view, now)]
 
-    def _choose_idle(
+    def _choose_for_isolation(
         self, ready: Sequence[RegisteredTarget]
     ) -> Sequence[RegisteredTarget]:
-        """Return the target with the least in progress, by all that is known.
+        """Return the target with the least known work in progress.
 
-        What else is in progress is lost with a target that ends.
+        If the suspect request crashes the target, all other work there is lost with it.
         """
         known = self.book.get_all(self._clock())
 
         def count(target: RegisteredTarget) -> tuple[int, int, int]:
             work = known.get(target.id)
             others = work.requests + work.parts if work is not None else 0
-            is_kept = self._kept_clear[target.id]
-            return is_kept, others, self._in_flight[target.id]
+            is_isolated = self._isolated[target.id]
+            return is_isolated, others, self._in_flight[target.id]
 
         return [min(ready, key=count)]
 
     @contextmanager
     def isolate_target(self, target: RegisteredTarget) -> Iterator[None]:
-        """Keep this host's other requests off a target, while there are others."""
-        self._kept_clear[target.id] += 1
+        """Keep this host's other requests off a target while other targets are left."""
+        self._isolated[target.id] += 1
         try:
             yield
         finally:
-            self._kept_clear[target.id] -= 1
-            if not self._kept_clear[target.id]:
-                del self._kept_clear[target.id]
+            self._isolated[target.id] -= 1
+            if not self._isolated[target.id]:
+                del self._isolated[target.id]
 
     def _has_connection(self, target: RegisteredTarget) -> bool:
-        # A target resets connections beyond those that it takes from all hosts
-        # together. Symptom: a request is lost, and may have run. Each send has one
-        # connection, so a host that keeps to its part of them meets no reset.
+        # A target resets connections beyond its limit for all hosts together, and the
+        # request on such a connection is lost although it may have run. Each send uses
+        # one connection, so a host that stays within its share sees no reset.
         limit = self._state.get_connection_limit(target.service)
         return limit is None or self._in_flight[target.id] < limit
 
     @contextmanager
     def track_in_flight(self, choice: SendChoice) -> Iterator[None]:
-        """Count a request on its targets until it ends."""
+        """Count a request as in flight on its targets until the context exits."""
         target = choice.target
         self._in_flight[target.id] += 1
         if choice.work is not None:
@@ -277,27 +285,27 @@
 
     @contextmanager
     def watch_prefills(
-        self, choice: SendChoice, note_reading: Callable[[EngineWork], None]
+        self, choice: SendChoice, on_prefill: Callable[[EngineWork], None]
     ) -> Iterator[None]:
-        """Call back each time that the target is known to read for long."""
-        watching = self._streams.setdefault(choice.target.id, {})
-        watching[note_reading] = None
+        """Call on_prefill whenever a long prefill is reported for the target."""
+        callbacks = self._prefill_callbacks.setdefault(choice.target.id, {})
+        callbacks[on_prefill] = None
         try:
             yield
         finally:
-            watching.pop(note_reading, None)
-            if not watching:
-                self._streams.pop(choice.target.id, None)
+            callbacks.pop(on_prefill, None)
+            if not callbacks:
+                self._prefill_callbacks.pop(choice.target.id, None)
 
-    def _note_reading(self, engines: Collection[str]) -> None:
-        watched = [engine for engine in engines if engine in self._streams]
+    def _notify_prefill(self, engines: Collection[str]) -> None:
+        watched = [engine for engine in engines if engine in self._prefill_callbacks]
         known = self.book.get_all(self._clock()) if watched else {}
         for engine in watched:
-            for note_reading in list(self._streams.get(engine, ())):
-                note_reading(known.get(engine, EngineWork()))
+            for on_prefill in list(self._prefill_callbacks.get(engine, ())):
+                on_prefill(known.get(engine, EngineWork()))
 
     def note_events(self, choice: SendChoice, events: int) -> None:
-        """Note that events of an answer came, and learn the engine's pace by them."""
+        """Record that events of an answer arrived, and the decode pace they show."""
         now = self._clock()
         choice.note_first_event(now)
         pace = choice.compute_pace(events, now)
@@ -305,18 +313,18 @@
             self.book.note_pass(choice.target.id, pace, now)
 
     def note_full(self, target_id: str) -> None:
-        """Note that a target has no memory for a reservation."""
+        """Record that a target had no memory for a reservation."""
         self.book.note_full(target_id, self._clock())
 
     def record_load(self, target: RegisteredTarget, text: str | None) -> None:
-        """Take the load that a target tells with its answer."""
+        """Record the load that a target reports in the header of its answer."""
         counts = [parse_count(part) for part in (text or "").split(LOAD_SEPARATOR)]
         if len(counts) != LOAD_FIELDS or counts[0] is None or counts[1] is None:
             return
         self.book.note_count(target.id, counts[0] + counts[1], self._clock())
 
     def record_limit(self, target: RegisteredTarget, text: str | None) -> None:
-        """Take the requests a second that a target names with its answer, if any."""
+        """Record the requests per second that a target's answer allows, if it does."""
         number, rate = hash_name(target.id), parse_rate(text)
         if self.limits.note_named(number, rate, read_clock()):
             log_event("target_limit", target=target.id, requests_per_second=rate)
@@ -330,10 +338,10 @@
     def _is_limited(self, target_id: str) -> bool:
         return self.limits.is_limited(hash_name(target_id))
 
-    def _keep_cell(
+    def _restrict_to_cell(
         self, need: TargetNeed, ready: Sequence[RegisteredTarget]
     ) -> Sequence[RegisteredTarget]:
-        """Return the engines of this host's cell, or all after one has failed."""
+        """Return the engines of this host's cell, or all after a failed attempt."""
         if self.get_cell is None or need.tried:
             return ready
         cell = self.get_cell(need.service)
@@ -343,15 +351,15 @@
         return [target for target in ready if target.id in cell.engines] or ready
 
     def allows_cross_cell(self, service: str) -> bool:
-        """Return whether prompts of a service may go to engines of other cells.
+        """Return whether prompts of a service may be sent to engines of other cells.
 
-        In a very large fleet cells have enough of them, and a plan among all, and word
-        of all, would take more of each host than it saves.
+        In a very large fleet a cell has enough engines, and planning among all engines
+        and gossip about all of them would cost each host more than it saves.
         """
         return len(self._state.registry.get_ready(service)) <= c.MAX_CROSS_CELL_ENGINES
 
     def build_summary(self) -> dict[str, list[Any]] | None:
-        """Return what is known of the engines of this host's cell, None for none."""
+        """Return the known load of the engines of this host's cell, None if nothing."""
         table = self._state.table
         if self.get_cell is None or table is None:
             return None
@@ -365,7 +373,7 @@
         return summary or None
 
     def take_summary(self, host: str, data: Any, age_seconds: float) -> None:
-        """Take what a host of another cell told of the engines of its cell."""
+        """Apply a report of a host of another cell on the engines of its cell."""
         self.book.take_summary(data, age_seconds, self._clock())
 
     def _plan(
@@ -381,13 +389,13 @@
             leader=need.leader,
         )
         by_id = {target.id: target for target in ready}
-        near = [target.id for target in self._keep_cell(need, ready)]
+        in_cell = [target.id for target in self._restrict_to_cell(need, ready)]
         known = self.book.get_all(now)
 
         def plan_among(names: Collection[str]) -> ReadingPlan | None:
             return plan_reading(
                 prompt,
-                sorted(names, key=_compute_place),
+                sorted(names, key=_compute_order_key),
                 known,
                 service.engine,
                 self._state.random,
@@ -396,12 +404,12 @@
                 self._state.settings.failure_domain,
             )
 
-        plan = plan_among(near)
-        if len(near) < len(by_id) and self.allows_cross_cell(need.service):
+        plan = plan_among(in_cell)
+        if len(in_cell) < len(by_id) and self.allows_cross_cell(need.service):
             plan = widen_plan(plan, prompt, lambda: plan_among(by_id))
         if plan is not None and any(map(self._is_limited, plan.readers[1:])):
-            # A part that is read for another target is work that its limit leaves out.
-            free = [name for name in near if not self._is_limited(name)]
+            # A target's rate limit does not count the prefill that it does for others.
+            free = [name for name in in_cell if not self._is_limited(name)]
             plan = plan_among(free) or plan
         if plan is None:
             return None
@@ -413,7 +421,7 @@
         )
 
 
-@lru_cache(MAX_ORDERED)
-def _compute_place(target_id: str) -> bytes:
-    """Return a target's place in the order that all hosts share."""
+@lru_cache(MAX_CACHED_ORDER_KEYS)
+def _compute_order_key(target_id: str) -> bytes:
+    """Return the key by which all hosts sort the targets alike."""
     return hashlib.blake2b(target_id.encode(), digest_size=8).digest()
--- a/libraries/gateway/tarragonward_gateway/turns.py
+++ b/libraries/gateway/tarragonward_gateway/turns.py
@@ -14,12 +14,12 @@
     """The place up to which things were told; what comes and goes may shift it."""
 
     def __init__(self) -> None:
-        self._place = 0
+        self._position = 0
 
     def take(self, known: Sequence[Item], count: int) -> list[Item]:
         """Return the next few, from the first again after the last."""
         if not known:
             return []
-        start = self._place % len(known)
-        self._place = start + count
+        start = self._position % len(known)
+        self._position = start + count
         return [*known[start:], *known[:start]][:count]
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -70,14 +70,14 @@
     work = begin(chooser, 6.0)
     now = 5.0 + cell_gossip.c.PREFILL_REPEAT_SECONDS
     monkeypatch.setattr(cell_gossip, "read_clock", lambda: now)
-    gossip._told_at = 5.0
-    gossip._repeat_reading([FAR])
+    gossip._sent_at = 5.0
+    gossip._resend_long_prefill([FAR])
     assert messages[-1] == (PROMPTS_SECTION, [FAR]) and len(messages) == 2
-    gossip._repeat_reading([FAR])
+    gossip._resend_long_prefill([FAR])
     assert len(messages) == 2
     chooser.book.end(work)
-    gossip._told_at = float("-inf")
-    gossip._repeat_reading([FAR])
+    gossip._sent_at = float("-inf")
+    gossip._resend_long_prefill([FAR])
     assert len(messages) == 2
 
 
@@ -110,8 +110,8 @@
 def test_a_very_large_fleet_tells_nothing_beyond_its_cells(told, monkeypatch):
     """Nobody plans among thousands of engines, so word of them is work for nothing."""
     chooser, gossip, messages = told
-    assert gossip._list_far() == [FAR]
+    assert gossip._list_remote_hosts() == [FAR]
     monkeypatch.setattr(cell_gossip.c, "MAX_CROSS_CELL_ENGINES", -1)
-    assert gossip._list_far() == []
+    assert gossip._list_remote_hosts() == []
     begin(chooser, placement_const.BLOCKING_PREFILL_SECONDS)
     assert not messages
--- a/libraries/gateway/tests/test_idle_timeout.py
+++ b/libraries/gateway/tests/test_idle_timeout.py
@@ -31,11 +31,11 @@
     monkeypatch.setattr(c, "SILENCE_RECHECK_SECONDS", 0.01)
     asked = []
 
-    def may_leave():
+    def may_abandon():
         asked.append(1)
         return False
 
-    async with IdleTimeout(0.01, 0.01, may_leave):
+    async with IdleTimeout(0.01, 0.01, may_abandon):
         async with asyncio.timeout(5):
             while len(asked) < 3:
                 await asyncio.sleep(0.005)
--- a/libraries/gateway/tests/test_moving.py
+++ b/libraries/gateway/tests/test_moving.py
@@ -85,7 +85,7 @@
     assert [f"piece {n}".encode() in answer.body for n in (1, 2, 3, 4)] == [True] * 4
     assert asked[1].get("last-event-id") == ["2"]
     assert asked[0].get("x-expected-target") != asked[1].get("x-expected-target")
-    assert site.chooser.reach.ejected_count == 0
+    assert site.chooser.target_health.ejected_count == 0
 
 
 async def test_a_stream_stays_where_no_other_engine_would_be_in_time(make_engines):
--- a/libraries/gateway/tests/test_no_end.py
+++ b/libraries/gateway/tests/test_no_end.py
@@ -129,7 +129,7 @@
     site = await make_site(answer_with(), answer_with())
     await site.targets[0].async_unload()
     assert (await site.async_ask()).status == 200
-    assert site.chooser.reach.ejected_count == 1
+    assert site.chooser.target_health.ejected_count == 1
     assert (await site.async_ask()).status == 200
     assert len(site.targets[1].seen) == 2
 
@@ -155,7 +155,7 @@
     moved = refuse_with("421 Misdirected")
     site = await make_site(moved, moved, answer_with())
     await site.async_ask()
-    assert site.chooser.reach.ejected_count == 2
+    assert site.chooser.target_health.ejected_count == 2
     assert (await site.async_ask()).status == 200
     assert len(site.targets[0].seen) == len(site.targets[1].seen) == 1
 
@@ -164,7 +164,7 @@
     names = ("X-Failed-Target: 127.0.0.1:9",)
     site = await make_site(refuse_with("421 Misdirected", names), answer_with())
     await site.async_ask()
-    assert not site.chooser.reach.ejected_count
+    assert not site.chooser.target_health.ejected_count
 
 
 async def test_an_engine_that_cannot_be_reached_before_a_joint_reading_rests(make_site):
@@ -177,4 +177,4 @@
     await site.targets[0].async_unload()
     targets = site.state.registry.get_ready("s")
     assert not await site.chooser.probes.async_check(targets)
-    assert site.chooser.reach.ejected_count == 1
+    assert site.chooser.target_health.ejected_count == 1
--- a/libraries/gateway/tests/test_operators.py
+++ b/libraries/gateway/tests/test_operators.py
@@ -95,7 +95,9 @@
     site = await make_site(stream_events(range(1, 4)), kind=RequestKind.STREAM)
     free = Address("127.0.0.1", 0)
     site.state.settings = replace(site.state.settings, metrics=free)
-    operators = OperatorsTask(site.state, site.chooser.reach, site.forwarder.suspects)
+    operators = OperatorsTask(
+        site.state, site.chooser.target_health, site.forwarder.suspects
+    )
     await operators.async_setup()
     await site.async_ask("POST")
     answer = await async_send_http(
@@ -117,7 +119,7 @@
     suspects = site.forwarder.suspects
     for target in range(3):
         suspects.ledger.record_crash(b"12345678", 9, target, read_clock())
-    operators = OperatorsTask(site.state, site.chooser.reach, suspects)
+    operators = OperatorsTask(site.state, site.chooser.target_health, suspects)
     await operators.async_setup()
 
     async def ask(method, path):
@@ -136,7 +138,9 @@
 async def test_a_metrics_address_in_use_costs_no_caller_its_answer(make_site, lines):
     site = await make_site(answer_with())
     site.state.settings = replace(site.state.settings, metrics=site.server.address)
-    operators = OperatorsTask(site.state, site.chooser.reach, site.forwarder.suspects)
+    operators = OperatorsTask(
+        site.state, site.chooser.target_health, site.forwarder.suspects
+    )
     await operators.async_setup()
     assert operators.server is None
     assert b"event=metrics_unserved" in b"".join(lines)
--- a/libraries/gateway/tests/test_overdue.py
+++ b/libraries/gateway/tests/test_overdue.py
@@ -36,7 +36,7 @@
         answer = await site.async_ask_prompt(PROMPT)
     assert answer.status == 200
     assert len(set(asked)) == len(asked) == 2
-    assert site.chooser.reach.ejected_count == 0
+    assert site.chooser.target_health.ejected_count == 0
 
 
 async def test_a_prompt_stays_where_no_other_would_be_in_time(make_pair):
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -35,11 +35,11 @@
         ]
         for target in self.targets:
             state.registry.apply(target)
-        self.reach = TargetHealthTracker()
-        self.probes = TargetProber(state, self.reach)
+        self.target_health = TargetHealthTracker()
+        self.probes = TargetProber(state, self.target_health)
 
     def select(self):
-        return list(self.reach.select(self.targets, read_clock()))
+        return list(self.target_health.select(self.targets, read_clock()))
 
 
 def test_unreached_target_is_left_out_and_the_others_stay():
@@ -122,7 +122,7 @@
         rounds.append(now)
         raise LookupError("not foreseen")
 
-    monkeypatch.setattr(doubts.reach, "take_due_probes", fail)
+    monkeypatch.setattr(doubts.target_health, "take_due_probes", fail)
     await doubts.probes.async_setup()
     async with asyncio.timeout(5):
         while len(rounds) < 3:
@@ -166,7 +166,10 @@
     assert (await site.async_ask()).status == 200
     assert [len(target.seen) for target in site.targets] == [2, 0, 1]
     ready = site.state.registry.get_ready("s")
-    assert list(site.chooser.reach.select(ready, read_clock())) == [leader, other]
+    assert list(site.chooser.target_health.select(ready, read_clock())) == [
+        leader,
+        other,
+    ]
 
 
 async def test_a_prompt_whose_helpers_leave_returns_to_its_leader(make_site):
@@ -200,7 +203,7 @@
     def choose_with_helpers(need):
         choice = choose(need)
         if choice is not None and choice.target is leader:
-            awake = site.chooser.reach.select((leader, *helpers), read_clock())
+            awake = site.chooser.target_health.select((leader, *helpers), read_clock())
             choice.helpers = tuple(each for each in helpers if each in awake)
             choice.plan = Plan()
         return choice
