--- a/libraries/requests/tarragonward_requests/const.py
+++ b/libraries/requests/tarragonward_requests/const.py
@@ -1,7 +1,8 @@
-"""Hold the limits of requests, retries and keys."""
+"""Constants of requests, retries, keys and suspects."""
 
 from __future__ import annotations
 
+# Retry-After, keys and the ledger of non-idempotent calls.
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
 KEY_MAC_BYTES = 9
 MAX_KEY_CHARACTERS = 256
@@ -9,12 +10,15 @@
 MAX_RECORDED_BYTES = 8 * 1024 * 1024
 MAX_RECORDS = 20_000
 NEW_KEY_RETRY_AFTER_SECONDS = 1.0
+# Memory reserved for the answer of each call in flight.
 RESERVED_ANSWER_BYTES = 16 * 1024
 
+# Attempts of model requests, outlier ejection and the sweep of orphans.
 ENGINE_REPORT_LAG_SECONDS = 5.0
 EJECTION_BASE_SECONDS = 0.5
 EJECTION_MAX_SECONDS = 4.0
 EJECTION_BACKOFF_FACTOR = 2.0
+# Failovers that start without a delay; later ones back off.
 IMMEDIATE_FAILOVERS = 2
 CONSECUTIVE_FAILURES_TO_EJECT = 3
 MAX_ATTEMPTS = 16
@@ -28,27 +32,30 @@
 RETRY_BUDGET_FLOOR = 10.0
 RETRY_BUDGET_SHARE = 0.2
 RETRY_BUDGET_WINDOW_SECONDS = 30
-# What a retry costs the engines, in whole attempts: a refused one reached none, and a
-# resumed stream is read on from memory without a prefill.
+# Cost of a retry, in full attempts: a refused attempt did no work on an engine, and a
+# resumed stream is read from the engine's buffer without a new prefill.
 RETRY_COST_REFUSED = 0.1
 RETRY_COST_RESUME = 0.2
 RETRY_COST_FAILOVER = 1.0
 
-# Less time left than this is no offer to a target.
+# With less time left than this, a request is not sent to another target.
 MIN_SEND_SECONDS = 0.02
 FORWARD_RETRY_AFTER_SECONDS = 0.25
 
-# The budget of repeats that all hosts share.
+# Retry budget shared by all hosts. Three quarters plus twice an eighth: a host that
+# restarts twice within a window stays within its part of the slack.
 BUDGET_BUCKETS_PER_WINDOW = 20
 BUDGET_SAFETY_FACTOR = 0.9
+# How much later one retry may arrive at its target than another sent with it.
 BUDGET_ARRIVAL_JITTER_SECONDS = 0.5
 BUDGET_SLACK_SHARE = 0.75
 BUDGET_FIRST_WINDOW_SLACK_SHARE = 0.125
+# The rest of the slack is kept for urgent retries: answers that broke off midway.
 BUDGET_ORDINARY_SLACK_SHARE = 0.8
-# How often a request goes back to a target that refused it for another one's fault.
+# Resends to the target that had the request last and is not at fault for its refusal.
 MAX_RESENDS_TO_PREVIOUS_TARGET = 4
 
-# Requests that are suspected to crash the targets that run them.
+# Requests that are suspected of crashing the targets that run them.
 RUN_ALONE_AFTER_CRASHES = 2
 REFUSE_AFTER_CRASHES = 3
 MAX_SUSPECTS = 1_024
@@ -56,6 +63,8 @@
 SUSPECT_RETENTION_SECONDS = 600.0
 REFUSED_RETENTION_SECONDS = 3_600.0
 CLEARED_RETENTION_SECONDS = 60.0
+# Other hosts wait this long for the result of an isolated attempt.
 ISOLATED_ATTEMPT_SECONDS = 2.0
-# An isolated host tries a request again so long after a target ended under it.
+# A host without contact to its peers waits this long after a crash before it sends the
+# request again.
 ISOLATED_HOST_RETRY_DELAY_SECONDS = 8.0
--- a/libraries/requests/tarragonward_requests/events.py
+++ b/libraries/requests/tarragonward_requests/events.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events at the blank lines between them."""
+"""Split a stream of server-sent events into whole events."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 __all__ = ["EventStreamSplitter", "StreamEvent"]
 
-# Lines may end in either way. Source: the HTML standard, section 9.2.5.
+# A blank line ends an event; lines end with LF or CRLF (HTML standard, 9.2.5).
 EVENT_BOUNDARY = re.compile(rb"\r?\n\r?\n")
 ID_FIELD = b"id:"
 MAX_EVENT_BYTES = 1024 * 1024
@@ -15,17 +15,17 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One whole event with its blank line; number is its id, None where it has none."""
+    """A whole event with its blank line; event_id is None without a numeric id."""
 
     data: bytes
     event_id: int | None
 
 
 class EventStreamSplitter:
-    """Hold back what has come of an event until the event is whole.
+    """Buffers an incomplete event until the rest of it has arrived.
 
-    A target may end within an event. Symptom of passing bytes on as they come: the
-    caller reads half an event joined to the first event of the next target.
+    A target may fail in the middle of an event. If bytes were forwarded as they arrive,
+    the caller would read half an event joined to the first event of the next target.
     """
 
     def __init__(self) -> None:
@@ -33,13 +33,13 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Return whether a part of an event is buffered."""
+        """Return whether an incomplete event is buffered."""
         return bool(self._partial)
 
     def split(self, data: bytes) -> list[StreamEvent]:
-        """Take more bytes and return the events that they complete.
+        """Add bytes and return the events that they complete.
 
-        Raise ValueError for an event without end.
+        Raise ValueError if an event exceeds the size limit.
         """
         buffered = self._partial + data
         events, start = [], 0
@@ -49,7 +49,7 @@
             start = end.end()
         self._partial = buffered[start:]
         if len(self._partial) > MAX_EVENT_BYTES:
-            raise ValueError("an event is too large")
+            raise ValueError("event is too large: no end within 1 MiB")
         return events
 
 
--- a/libraries/requests/tarragonward_requests/fingerprints.py
+++ b/libraries/requests/tarragonward_requests/fingerprints.py
@@ -1,4 +1,4 @@
-"""Tell requests apart by what they ask, whichever attempt and host carries them."""
+"""Identify a request by its content, independent of host, attempt and request id."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 __all__ = ["FINGERPRINT_BYTES", "fingerprint_request"]
 
 FINGERPRINT_BYTES = 8
-# Lengths before the parts, so that no two lists of parts give the same bytes.
+# Each part is length-prefixed, so that different parts never hash the same bytes.
 LENGTH_PREFIX_BYTES = 8
 
 
 def fingerprint_request(
     account: str, method: str, host: str, target: bytes, body: bytes
 ) -> bytes:
-    """Return bytes that stand for a request; a repeat with its own id has the same.
+    """Return a hash of a request; a repeat with another request id has the same one.
 
-    account is the client account's name, empty where the caller needs none. Two
-    different requests share a fingerprint by chance once in 2**64 pairs.
+    account is the name of the client account, empty if the request has none.
+    Two different requests collide with a probability of 2**-64.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     parts = (account.encode(), method.encode(), host.lower().encode(), target, body)
--- a/libraries/requests/tarragonward_requests/messages.py
+++ b/libraries/requests/tarragonward_requests/messages.py
@@ -26,7 +26,7 @@
 
 
 class AttemptFault(Enum):
-    """Why an attempt ended without its finish."""
+    """Why an attempt failed."""
 
     NOT_CONNECTED = "not connected"
     REFUSED = "refused"
@@ -37,15 +37,15 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Return whether the engine certainly ran nothing of the attempt."""
+        """Return whether the engine cannot have run any part of the attempt."""
         return self in (AttemptFault.NOT_CONNECTED, AttemptFault.REFUSED)
 
 
 @dataclass(frozen=True)
 class TextArrived:
-    """Text came from an attempt; offset counts the tokens before it in the answer.
+    """An attempt produced text; offset is its first token's position in the answer.
 
-    pieces holds one text for each token.
+    pieces has one string per token.
     """
 
     attempt: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class AttemptFinished:
-    """An attempt's engine says that the answer is whole at this many tokens."""
+    """The engine reported the end of the answer, which has this many tokens."""
 
     attempt: int
     tokens: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class AttemptFailed:
-    """An attempt ended without its finish."""
+    """An attempt ended before the end of the answer."""
 
     attempt: int
     fault: AttemptFault
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class PlacementRefused:
-    """No target was found for the attempt that was to start."""
+    """Placement found no target for an attempt."""
 
     attempt: int
     code: ResultCode
@@ -86,12 +86,12 @@
 
 @dataclass(frozen=True)
 class DeadlineTimerFired:
-    """The time limit may have passed; also sent after a pause of the process."""
+    """The deadline's timer fired, possibly early, or late after a process pause."""
 
 
 @dataclass(frozen=True)
 class DrainTimeoutExpired:
-    """The host's time to drain is over."""
+    """The host is stopping: its drain time-out has expired."""
 
 
 Event = (
@@ -107,11 +107,11 @@
 
 @dataclass(frozen=True)
 class StartAttempt:
-    """Start an attempt that begins after offset tokens of the answer.
+    """Start an attempt at offset, the number of tokens already delivered.
 
-    resume asks for the same stream on the same engine; otherwise another engine goes
-    on from the prompt plus the text already given out. delay_seconds is to be spread
-    by jitter.
+    With resume, reconnect to the same stream on the same engine. Otherwise another
+    engine continues from the prompt plus the delivered text. Whoever carries the effect
+    out adds jitter to delay_seconds.
     """
 
     attempt: int
@@ -122,14 +122,14 @@
 
 @dataclass(frozen=True)
 class CancelAttempt:
-    """Cancel an attempt and release what it holds on its engine."""
+    """Cancel an attempt and release its resources on the engine."""
 
     attempt: int
 
 
 @dataclass(frozen=True)
 class DeliverText:
-    """Give text to the caller."""
+    """Deliver text of so many tokens to the caller."""
 
     text: str
     tokens: int
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True)
 class EndRequest:
-    """End the request: the one terminal event."""
+    """End the request; the only terminal effect."""
 
     code: ResultCode
     finish_reason: str
--- a/libraries/requests/tests/test_events.py
+++ b/libraries/requests/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of where a stream of events is cut."""
+"""Tests of splitting a stream of server-sent events."""
 
 import pytest
 
@@ -11,22 +11,22 @@
     b": a comment\n\n",
     b"id: 12\ndata: e\n\n",
 ]
-NUMBERS = [1, 2, 3, None, 12]
+EVENT_IDS = [1, 2, 3, None, 12]
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7, 1_000])
-def test_events_are_the_same_however_their_bytes_come(size):
+def test_events_do_not_depend_on_chunk_boundaries(size):
     stream = b"".join(EVENTS)
     splitter = EventStreamSplitter()
     events = []
     for start in range(0, len(stream), size):
         events += splitter.split(stream[start : start + size])
     assert [event.data for event in events] == EVENTS
-    assert [event.event_id for event in events] == NUMBERS
+    assert [event.event_id for event in events] == EVENT_IDS
     assert not splitter.has_partial_event
 
 
-def test_a_part_of_an_event_is_held_back():
+def test_an_incomplete_event_is_buffered():
     splitter = EventStreamSplitter()
     assert splitter.split(b"id: 1\ndata: a\n") == []
     assert splitter.has_partial_event
@@ -35,6 +35,6 @@
     assert splitter.has_partial_event
 
 
-def test_an_event_without_end_is_refused():
+def test_an_oversized_event_is_rejected():
     with pytest.raises(ValueError, match="too large"):
         EventStreamSplitter().split(b"x" * 1_100_000)
