--- a/libraries/bench/tarragonward_bench/experiment/fleet.py
+++ b/libraries/bench/tarragonward_bench/experiment/fleet.py
@@ -134,7 +134,7 @@
                 return
             host.policy.cell = cell.engines
             if host.policy.book is not None:
-                host.policy.book.tells_each = True
+                host.policy.book.announces_every_prompt = True
             mates = cell.hosts - {str(number)}
             self._mates[number] = [self.hosts[int(name)] for name in sorted(mates)]
         self._is_divided = True
@@ -200,7 +200,7 @@
     ) -> Callable[[], None]:
         book = other.policy.book
         assert book is not None
-        return lambda: book.take_summary(summary, age, self.now)
+        return lambda: book.apply_summary(summary, age, self.now)
 
     def _tell(self, number: int, host: Host, to_all: bool = False) -> None:
         others = self._mates[number]
@@ -219,7 +219,7 @@
     ) -> Callable[[], None]:
         book = other.policy.book
         assert book is not None
-        return lambda: book.take_digest(str(number), digest, age, self.now)
+        return lambda: book.apply_digest(str(number), digest, age, self.now)
 
     def choose(self, host: Host, need: PromptNeed, tried: set[str]) -> Sending | None:
         """Let a host decide, and count what it took."""
--- a/libraries/bench/tarragonward_bench/experiment/policies.py
+++ b/libraries/bench/tarragonward_bench/experiment/policies.py
@@ -10,12 +10,12 @@
 from typing import Any, Protocol
 
 from tarragonward_placement import (
-    FleetBook,
+    FleetUsageTracker,
+    InFlightPrompt,
+    PrefillPlan,
     PromptNeed,
-    PromptWork,
-    ReadingPlan,
     const,
-    plan_reading,
+    plan_prefill,
     widen_plan,
 )
 from tarragonward_routes import EngineModel
@@ -52,7 +52,7 @@
 
     leader: str
     helpers: tuple[str, ...] = ()
-    work: PromptWork | None = None
+    work: InFlightPrompt | None = None
     predicted_seconds: float | None = None
     tickets: Mapping[str, int] = field(default_factory=dict)
     pass_seconds: float = 0.0
@@ -61,7 +61,7 @@
 class HostPolicy(Protocol):
     """What one host decides with, on what it knows itself and was told."""
 
-    book: FleetBook | None
+    book: FleetUsageTracker | None
     cell: Collection[str] | None
 
     def choose(
@@ -133,7 +133,7 @@
 
     def __init__(self, engines: Sequence[str], model: EngineModel, rng: Random) -> None:
         self._engines, self._model, self._rng = engines, model, rng
-        self.book = FleetBook()
+        self.book = FleetUsageTracker()
 
     def begin(self, sending: Sending) -> None:
         if sending.work is not None:
@@ -150,7 +150,7 @@
     def choose(
         self, need: PromptNeed, tried: Collection[str], now: float
     ) -> Sending | None:
-        known = self.book.get_all(now)
+        known = self.book.get_usage(now)
         reads = self._model.compute_read_seconds(need.prompt_tokens)
         best = None
         for name in self._engines:
@@ -158,17 +158,17 @@
                 continue
             seconds, work = reads, known.get(name)
             if work is not None:
-                seconds += work.reading_seconds + self._model.compute_write_seconds(
-                    work.writers, work.context_tokens
+                seconds += work.prefill_seconds + self._model.compute_write_seconds(
+                    work.decoding_requests, work.context_tokens
                 )
             drawn = (seconds, self._rng.random(), name)
             best = drawn if best is None else min(best, drawn)
         if best is None:
             return None
-        plan = ReadingPlan(
-            readers=(best[2],),
+        plan = PrefillPlan(
+            prefill_engines=(best[2],),
             part_seconds=reads,
-            reads_until={best[2]: best[0]},
+            prefill_end_seconds={best[2]: best[0]},
             first_event_seconds=best[0],
             cost=0.0,
         )
@@ -183,17 +183,17 @@
         self, need: PromptNeed, tried: Collection[str], now: float
     ) -> Sending | None:
         names = [name for name in self._engines if name not in tried]
-        known = self.book.get_all(now)
-        hears_peers = self.book.hears_peers(now)
+        known = self.book.get_usage(now)
+        has_fresh_hints = self.book.has_fresh_hints(now)
 
-        def plan_among(among: Sequence[str]) -> ReadingPlan | None:
-            return plan_reading(
+        def plan_among(among: Sequence[str]) -> PrefillPlan | None:
+            return plan_prefill(
                 need,
                 among,
                 known,
                 self._model,
                 self._rng,
-                hears_peers,
+                has_fresh_hints,
                 self.zones,
                 self.own_zone,
             )
@@ -209,10 +209,10 @@
             return Sending(self._rng.choice(names)) if names else None
         return Sending(
             leader=plan.leader,
-            helpers=tuple(plan.readers[1:]),
+            helpers=tuple(plan.prefill_engines[1:]),
             work=plan.build_work(need, now),
             predicted_seconds=plan.first_event_seconds,
-            tickets=plan.tickets,
+            tickets=plan.reserved_tokens,
             pass_seconds=plan.pass_seconds,
         )
 
--- a/libraries/bench/tarragonward_bench/experiment/prompt.py
+++ b/libraries/bench/tarragonward_bench/experiment/prompt.py
@@ -124,7 +124,7 @@
             self._outcome.is_refused = self._has_ended = True
             return
         if self._host.policy.book is not None:
-            self._host.policy.book.note_full(full, fleet.now)
+            self._host.policy.book.mark_full(full, fleet.now)
         wait = gateway_const.RESERVATION_RETRY_SECONDS * 2**tries
         fleet.after(fleet.draw() * wait, lambda: self.send(tries + 1))
 
@@ -248,7 +248,7 @@
     def _note_pass(self, engine: str, pause: float) -> None:
         sending, book = self._sending, self._host.policy.book
         if sending is not None and sending.pass_seconds and book is not None:
-            book.note_pass(engine, pause / sending.pass_seconds, self._fleet.now)
+            book.record_pass(engine, pause / sending.pass_seconds, self._fleet.now)
 
     def _hear_first(self, engine: str, requests: int) -> None:
         assert self._sending is not None
@@ -257,7 +257,7 @@
             self._sending.work.first_event_at = self._fleet.now
         book = self._host.policy.book
         if book is not None and self._fleet.hears_counts:
-            book.note_count(engine, requests, self._fleet.now)
+            book.record_request_count(engine, requests, self._fleet.now)
 
     def _note_end(self, now: float) -> None:
         self._outcome.is_whole = self._has_ended = True
--- a/libraries/gateway/tarragonward_gateway/cell_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/cell_gossip.py
@@ -68,7 +68,7 @@
     def _resend_long_prefill(self, remote: list[Address]) -> None:
         now = read_clock()
         is_due = now - self._sent_at >= c.PREFILL_REPEAT_SECONDS
-        if is_due and self._chooser.book.has_long_reading(now):
+        if is_due and self._chooser.book.has_long_prefill(now):
             self._send_prefill(remote, now)
 
     def _handle_prompt_change(self, is_long: bool) -> None:
--- a/libraries/gateway/tarragonward_gateway/moving.py
+++ b/libraries/gateway/tarragonward_gateway/moving.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tarragonward_placement import EngineWork, gains_by_moving, predict_wait
+from tarragonward_placement import EngineUsage, gains_by_moving, predict_wait
 from tarragonward_requests import Exchange
 
 from . import const as c
@@ -41,7 +41,7 @@
         self.retry_at: float | None = None
 
     def consider_move(
-        self, choice: SendChoice, idle_timeout: IdleTimeout, work: EngineWork
+        self, choice: SendChoice, idle_timeout: IdleTimeout, work: EngineUsage
     ) -> None:
         """Leave the target where another one would go on in time."""
         need = self._build_need()
@@ -91,17 +91,17 @@
         )
 
     def _gains_by_moving(
-        self, choice: SendChoice, need: TargetNeed, work: EngineWork
+        self, choice: SendChoice, need: TargetNeed, work: EngineUsage
     ) -> bool:
         plan = choice.plan
         assert plan is not None
-        if plan.tickets:
+        if plan.reserved_tokens:
             return False
         waits = predict_wait(work, plan.pass_seconds)
         limit = need.aim_at - self._loop.time()
         if not gains_by_moving(waits, 0.0, limit):
             return False
         other = self._chooser.find_alternative(need)
-        if other is None or other.plan is None or other.plan.tickets:
+        if other is None or other.plan is None or other.plan.reserved_tokens:
             return False
         return gains_by_moving(waits, other.plan.first_event_seconds, limit)
--- a/libraries/gateway/tarragonward_gateway/reservations.py
+++ b/libraries/gateway/tarragonward_gateway/reservations.py
@@ -139,7 +139,7 @@
         by_id = {target.id: target for target in choice.helpers}
         return [
             Reservation(ticket, by_id[name], tokens, self._hold_seconds)
-            for name, tokens in choice.plan.tickets.items()
+            for name, tokens in choice.plan.reserved_tokens.items()
         ]
 
     async def _async_reserve_part(
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -14,9 +14,9 @@
 )
 from tarragonward_membership import RegisteredTarget
 from tarragonward_placement import (
-    EngineWork,
+    EngineUsage,
     Evidence,
-    ReadingPlan,
+    PrefillPlan,
 )
 from tarragonward_requests import (
     AbortConnection,
@@ -300,7 +300,7 @@
             )
             return await self._async_take_answer(choice, stream)
 
-    def _build_watch(self, plan: ReadingPlan) -> IdleTimeout:
+    def _build_watch(self, plan: PrefillPlan) -> IdleTimeout:
         aim = max(self._route.aim_seconds, c.SILENCE_MIN_FIRST_SECONDS)
         pause = c.SILENCE_PAUSE_FACTOR * self._route.pause_aim_seconds
 
@@ -334,9 +334,9 @@
         )
 
     def _note_reading(
-        self, choice: SendChoice, watch: IdleTimeout, work: EngineWork
+        self, choice: SendChoice, watch: IdleTimeout, work: EngineUsage
     ) -> None:
-        self._observer.note_reading(work.reading_seconds)
+        self._observer.note_reading(work.prefill_seconds)
         self._mover.consider_move(choice, watch, work)
 
     def _build_headers(
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -14,15 +14,15 @@
 from tarragonward_membership import RegisteredTarget, hash_name
 from tarragonward_placement import (
     Cell,
-    EngineWork,
-    FleetBook,
+    EngineUsage,
+    FleetUsageTracker,
     HostView,
+    InFlightPrompt,
+    PrefillPlan,
     PromptNeed,
-    PromptWork,
-    ReadingPlan,
     TargetHealthTracker,
     TargetLimits,
-    plan_reading,
+    plan_prefill,
     widen_plan,
 )
 from tarragonward_placement.const import MAX_LIMIT_WAIT_SECONDS
@@ -71,8 +71,8 @@
 
     target: RegisteredTarget
     helpers: tuple[RegisteredTarget, ...] = ()
-    plan: ReadingPlan | None = None
-    work: PromptWork | None = None
+    plan: PrefillPlan | None = None
+    work: InFlightPrompt | None = None
     ticket: str = ""
     has_events: bool = False
     reading_since: float | None = None
@@ -103,7 +103,7 @@
     def helpers_header(self) -> str:
         """Return the value of the header that names the helpers to the target."""
         assert self.plan is not None
-        tickets = self.plan.tickets
+        tickets = self.plan.reserved_tokens
         return ",".join(
             f"{helper.address}/{self.ticket}"
             if helper.id in tickets
@@ -114,7 +114,7 @@
     @property
     def needs_tickets(self) -> bool:
         """Return whether memory has to be reserved on other engines."""
-        return self.plan is not None and bool(self.plan.tickets)
+        return self.plan is not None and bool(self.plan.reserved_tokens)
 
 
 class TargetChooser:
@@ -126,13 +126,13 @@
         self._in_flight: Counter[str] = Counter()
         # Targets to which this host has sent a suspect request.
         self._isolated: Counter[str] = Counter()
-        self.book = FleetBook()
+        self.book = FleetUsageTracker()
         # Returns this host's cell for a service; without it all engines are used.
         self.get_cell: Callable[[str], Cell] | None = None
         self._prefill_callbacks: dict[
-            str, dict[Callable[[EngineWork], None], None]
+            str, dict[Callable[[EngineUsage], None], None]
         ] = {}
-        self.book.on_reading.append(self._notify_prefill)
+        self.book.on_long_prefill.append(self._notify_prefill)
         # The request rates to which targets have limited all hosts together.
         self.limits = TargetLimits(state.random)
         self.on_limit: list[Callable[[int], None]] = []
@@ -146,7 +146,7 @@
 
     def take_digest(self, host: str, data: Any, age_seconds: float) -> None:
         """Apply another host's report of its prompts in flight."""
-        self.book.take_digest(host, data, age_seconds, self._clock())
+        self.book.apply_digest(host, data, age_seconds, self._clock())
 
     def choose(self, need: TargetNeed) -> SendChoice | None:
         """Choose a target and record the send; return None if no target remains."""
@@ -239,11 +239,11 @@
 
         If the suspect request crashes the target, all other work there is lost with it.
         """
-        known = self.book.get_all(self._clock())
+        known = self.book.get_usage(self._clock())
 
         def count(target: RegisteredTarget) -> tuple[int, int, int]:
             work = known.get(target.id)
-            others = work.requests + work.parts if work is not None else 0
+            others = work.requests + work.helper_parts if work is not None else 0
             is_isolated = self._isolated[target.id]
             return is_isolated, others, self._in_flight[target.id]
 
@@ -285,7 +285,7 @@
 
     @contextmanager
     def watch_prefills(
-        self, choice: SendChoice, on_prefill: Callable[[EngineWork], None]
+        self, choice: SendChoice, on_prefill: Callable[[EngineUsage], None]
     ) -> Iterator[None]:
         """Call on_prefill whenever a long prefill is reported for the target."""
         callbacks = self._prefill_callbacks.setdefault(choice.target.id, {})
@@ -299,10 +299,10 @@
 
     def _notify_prefill(self, engines: Collection[str]) -> None:
         watched = [engine for engine in engines if engine in self._prefill_callbacks]
-        known = self.book.get_all(self._clock()) if watched else {}
+        known = self.book.get_usage(self._clock()) if watched else {}
         for engine in watched:
             for on_prefill in list(self._prefill_callbacks.get(engine, ())):
-                on_prefill(known.get(engine, EngineWork()))
+                on_prefill(known.get(engine, EngineUsage()))
 
     def note_events(self, choice: SendChoice, events: int) -> None:
         """Record that events of an answer arrived, and the decode pace they show."""
@@ -310,18 +310,18 @@
         choice.note_first_event(now)
         pace = choice.compute_pace(events, now)
         if pace is not None:
-            self.book.note_pass(choice.target.id, pace, now)
+            self.book.record_pass(choice.target.id, pace, now)
 
     def note_full(self, target_id: str) -> None:
         """Record that a target had no memory for a reservation."""
-        self.book.note_full(target_id, self._clock())
+        self.book.mark_full(target_id, self._clock())
 
     def record_load(self, target: RegisteredTarget, text: str | None) -> None:
         """Record the load that a target reports in the header of its answer."""
         counts = [parse_count(part) for part in (text or "").split(LOAD_SEPARATOR)]
         if len(counts) != LOAD_FIELDS or counts[0] is None or counts[1] is None:
             return
-        self.book.note_count(target.id, counts[0] + counts[1], self._clock())
+        self.book.record_request_count(target.id, counts[0] + counts[1], self._clock())
 
     def record_limit(self, target: RegisteredTarget, text: str | None) -> None:
         """Record the requests per second that a target's answer allows, if it does."""
@@ -345,7 +345,7 @@
         if self.get_cell is None or need.tried:
             return ready
         cell = self.get_cell(need.service)
-        self.book.tells_each = not cell.is_whole
+        self.book.announces_every_prompt = not cell.is_whole
         if cell.is_whole:
             return ready
         return [target for target in ready if target.id in cell.engines] or ready
@@ -374,7 +374,7 @@
 
     def take_summary(self, host: str, data: Any, age_seconds: float) -> None:
         """Apply a report of a host of another cell on the engines of its cell."""
-        self.book.take_summary(data, age_seconds, self._clock())
+        self.book.apply_summary(data, age_seconds, self._clock())
 
     def _plan(
         self, need: TargetNeed, ready: Sequence[RegisteredTarget], service: Service
@@ -390,16 +390,16 @@
         )
         by_id = {target.id: target for target in ready}
         in_cell = [target.id for target in self._restrict_to_cell(need, ready)]
-        known = self.book.get_all(now)
+        known = self.book.get_usage(now)
 
-        def plan_among(names: Collection[str]) -> ReadingPlan | None:
-            return plan_reading(
+        def plan_among(names: Collection[str]) -> PrefillPlan | None:
+            return plan_prefill(
                 prompt,
                 sorted(names, key=_compute_order_key),
                 known,
                 service.engine,
                 self._state.random,
-                self.book.hears_peers(now),
+                self.book.has_fresh_hints(now),
                 {name: by_id[name].failure_domain for name in names},
                 self._state.settings.failure_domain,
             )
@@ -407,7 +407,7 @@
         plan = plan_among(in_cell)
         if len(in_cell) < len(by_id) and self.allows_cross_cell(need.service):
             plan = widen_plan(plan, prompt, lambda: plan_among(by_id))
-        if plan is not None and any(map(self._is_limited, plan.readers[1:])):
+        if plan is not None and any(map(self._is_limited, plan.prefill_engines[1:])):
             # A target's rate limit does not count the prefill that it does for others.
             free = [name for name in in_cell if not self._is_limited(name)]
             plan = plan_among(free) or plan
@@ -415,7 +415,7 @@
             return None
         return SendChoice(
             target=by_id[plan.leader],
-            helpers=tuple(by_id[name] for name in plan.readers[1:]),
+            helpers=tuple(by_id[name] for name in plan.prefill_engines[1:]),
             plan=plan,
             work=plan.build_work(prompt, now),
         )
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -12,7 +12,7 @@
 from tarragonward_gateway.targets import SECTION as PROMPTS_SECTION
 from tarragonward_gateway.targets import TargetChooser
 from tarragonward_membership import Hello, HelloReceived
-from tarragonward_placement import PromptNeed, ReadingPlan
+from tarragonward_placement import PrefillPlan, PromptNeed
 from tarragonward_placement import const as placement_const
 from tarragonward_routes import CallerLimits, EngineModel, RoutingTable, Service
 
@@ -49,7 +49,7 @@
 
 
 def begin(chooser, seconds):
-    plan = ReadingPlan(("e1",), seconds, {"e1": seconds}, seconds, 0.0)
+    plan = PrefillPlan(("e1",), seconds, {"e1": seconds}, seconds, 0.0)
     work = plan.build_work(LONG, 5.0)
     chooser.book.begin(work)
     return work
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -231,4 +231,4 @@
     """Stand for the plan of a prompt that needs no reservation."""
 
     first_event_seconds = 0.1
-    tickets = ()
+    reserved_tokens = ()
--- a/libraries/gateway/tests/test_reservations.py
+++ b/libraries/gateway/tests/test_reservations.py
@@ -19,7 +19,7 @@
 from tarragonward_gateway.state import GatewayState
 from tarragonward_gateway.targets import SendChoice
 from tarragonward_membership import RegisteredTarget
-from tarragonward_placement import ReadingPlan
+from tarragonward_placement import PrefillPlan
 
 ADDRESS = Address("127.0.0.1", 9)
 
@@ -86,13 +86,13 @@
         RegisteredTarget(name, "llm", ADDRESS, "a", 8, True, 1)
         for name in ("t0", "t1", "t2")
     )
-    plan = ReadingPlan(
-        readers=("t0", "t1", "t2"),
+    plan = PrefillPlan(
+        prefill_engines=("t0", "t1", "t2"),
         part_seconds=1.0,
-        reads_until={},
+        prefill_end_seconds={},
         first_event_seconds=1.0,
         cost=0.0,
-        tickets={"t1": 300_000, "t2": 200_000},
+        reserved_tokens={"t1": 300_000, "t2": 200_000},
     )
     return SendChoice(leader, tuple(helpers), plan)
 
--- a/libraries/placement/tarragonward_placement/__init__.py
+++ b/libraries/placement/tarragonward_placement/__init__.py
@@ -7,7 +7,7 @@
     DEFAULT_PREFILL_TOKENS_PER_SECOND,
     FIRST_LONG_PRIORITY,
 )
-from .fleet import EngineWork, FleetBook, PromptWork
+from .fleet import EngineUsage, FleetUsageTracker, InFlightPrompt
 from .groups import (
     GroupEffect,
     GroupMember,
@@ -39,7 +39,7 @@
     TargetHealthTracker,
     TargetRestored,
 )
-from .readings import ReadingPlan, plan_reading
+from .readings import PrefillPlan, plan_prefill
 from .relocation import gains_by_moving, predict_wait
 from .target_limits import HostView, LimitEntry, TargetLimits, compute_part
 from .widening import widen_plan
@@ -61,9 +61,9 @@
     "DEFAULT_PREFILL_TOKENS_PER_SECOND",
     "EngineLoad",
     "EngineView",
-    "EngineWork",
+    "EngineUsage",
     "FIRST_LONG_PRIORITY",
-    "FleetBook",
+    "FleetUsageTracker",
     "FleetView",
     "GroupEffect",
     "GroupMember",
@@ -76,8 +76,8 @@
     "PlacementRequest",
     "PrefixIndex",
     "PromptNeed",
-    "PromptWork",
-    "ReadingPlan",
+    "InFlightPrompt",
+    "PrefillPlan",
     "Refused",
     "ReleasePart",
     "ReservationGranted",
@@ -91,7 +91,7 @@
     "count_parallel_loads",
     "hash_blocks",
     "gains_by_moving",
-    "plan_reading",
+    "plan_prefill",
     "predict_wait",
     "share_by_weight",
     "widen_plan",
--- a/libraries/placement/tarragonward_placement/outlook.py
+++ b/libraries/placement/tarragonward_placement/outlook.py
@@ -8,7 +8,7 @@
 from tarragonward_routes import EngineModel
 
 from . import const as c
-from .fleet import NO_WORK, EngineWork
+from .fleet import IDLE_ENGINE, EngineUsage
 
 __all__ = ["Outlook", "observe_outlook"]
 
@@ -28,7 +28,7 @@
     free: frozenset[str] = frozenset()
     places_an_engine: float = 1.0
 
-    def compute_loss(self, readers: Sequence[str], seconds: float) -> float:
+    def compute_loss(self, prefill_engines: Sequence[str], seconds: float) -> float:
         """Return the weight expected to be late as readers read for so many seconds.
 
         It is the load of a burst: a prompt of 600,000 tokens that is read on 17 of 18
@@ -39,7 +39,7 @@
         """
         if not self.places:
             return 0.0
-        left = len(self.free.difference(readers))
+        left = len(self.free.difference(prefill_engines))
         lost = self._compute_lost_share(left) - self._compute_lost_share(len(self.free))
         return self.weight_per_second * seconds * lost
 
@@ -49,13 +49,13 @@
 
 def observe_outlook(
     engines: Sequence[str],
-    known: Mapping[str, EngineWork],
+    known: Mapping[str, EngineUsage],
     model: EngineModel,
-    reading_seconds: float,
+    prefill_seconds: float,
 ) -> Outlook:
     """Return the outlook for those whose aim a pause as long as a reading breaks."""
-    works = {name: known.get(name, NO_WORK) for name in engines}
-    pause = int(reading_seconds * MILLISECONDS)
+    works = {name: known.get(name, IDLE_ENGINE) for name in engines}
+    pause = int(prefill_seconds * MILLISECONDS)
     paused = [
         (
             work.requests,
@@ -73,7 +73,7 @@
         free=frozenset(
             name
             for name, work in works.items()
-            if work.reading_seconds * MILLISECONDS <= strictest
+            if work.prefill_seconds * MILLISECONDS <= strictest
         ),
         places_an_engine=max(model.slots * c.SLOT_FILL_SHARE, 1.0),
     )
--- a/libraries/placement/tarragonward_placement/places.py
+++ b/libraries/placement/tarragonward_placement/places.py
@@ -9,7 +9,7 @@
 from tarragonward_routes import EngineModel
 
 from . import const as c
-from .fleet import EngineWork
+from .fleet import EngineUsage
 
 __all__ = ["EnginePlace", "PromptNeed", "place_engines"]
 
@@ -29,7 +29,7 @@
     pause_aim_seconds: float
     leader: str = ""
 
-    def may_lead(self, engine: str) -> bool:
+    def can_lead(self, engine: str) -> bool:
         """Return whether an engine may answer the prompt."""
         return not self.leader or engine == self.leader
 
@@ -72,7 +72,7 @@
 def place_engines(
     need: PromptNeed,
     engines: Sequence[str],
-    known: Mapping[str, EngineWork],
+    known: Mapping[str, EngineUsage],
     model: EngineModel,
     domains: Mapping[str, str],
     own_domain: str,
@@ -106,7 +106,7 @@
 def _count_lane(
     need: PromptNeed,
     names: Sequence[str],
-    known: Mapping[str, EngineWork],
+    known: Mapping[str, EngineUsage],
     model: EngineModel,
 ) -> int:
     """Return how many engines the strictest writers and one more need."""
--- a/libraries/placement/tarragonward_placement/readings.py
+++ b/libraries/placement/tarragonward_placement/readings.py
@@ -9,49 +9,50 @@
 from tarragonward_routes import EngineModel
 
 from . import const as c
-from .fleet import NO_WORK, EngineWork, PromptWork
+from .fleet import IDLE_ENGINE, EngineUsage, InFlightPrompt
 from .outlook import observe_outlook
 from .places import EnginePlace, PromptNeed, place_engines
 
-__all__ = ["PromptNeed", "ReadingPlan", "plan_reading"]
+__all__ = ["PromptNeed", "PrefillPlan", "plan_prefill"]
 
 MILLISECONDS = 1_000
 
 
 @dataclass(frozen=True)
-class ReadingPlan:
+class PrefillPlan:
     """Who reads a prompt; the leader, which writes the answer, is the first.
 
     tickets are the tokens that other readers hold, in the order in which they are
     filled; the leader holds the rest.
     """
 
-    readers: tuple[str, ...]
+    prefill_engines: tuple[str, ...]
     part_seconds: float
-    reads_until: Mapping[str, float]
+    prefill_end_seconds: Mapping[str, float]
     first_event_seconds: float
     cost: float
-    tickets: Mapping[str, int] = field(default_factory=dict)
+    reserved_tokens: Mapping[str, int] = field(default_factory=dict)
     # The published time of a pass of the leader, with the answer among its writers.
     pass_seconds: float = 0.0
 
     @property
     def leader(self) -> str:
         """Return the engine that gets the request."""
-        return self.readers[0]
+        return self.prefill_engines[0]
 
-    def build_work(self, need: PromptNeed, now: float) -> PromptWork:
+    def build_work(self, need: PromptNeed, now: float) -> InFlightPrompt:
         """Return the prompt as it is counted while it is in flight."""
-        return PromptWork(
+        return InFlightPrompt(
             leader=self.leader,
-            reads_until={
-                engine: now + seconds for engine, seconds in self.reads_until.items()
+            prefill_ends_at={
+                engine: now + seconds
+                for engine, seconds in self.prefill_end_seconds.items()
             },
             part_seconds=self.part_seconds,
-            context_tokens=need.prompt_tokens // len(self.readers),
+            context_tokens=need.prompt_tokens // len(self.prefill_engines),
             held_tokens={
-                **self.tickets,
-                self.leader: need.memory_tokens - sum(self.tickets.values()),
+                **self.reserved_tokens,
+                self.leader: need.memory_tokens - sum(self.reserved_tokens.values()),
             },
             pause_aim_seconds=need.pause_aim_seconds,
             weight=need.weight,
@@ -61,19 +62,19 @@
 
 
 @dataclass(frozen=True)
-class _Candidate:
+class _PrefillCandidate:
     """One engine as a reader of a part: when it ends, what it costs the others."""
 
     name: str
-    work: EngineWork
-    ends_seconds: float
+    work: EngineUsage
+    prefill_end_seconds: float
     cost: float
-    order: float
+    position_cost: float
     # What it counts, as the engine that answers, that it is in another failure domain.
-    distance: float
+    distance_cost: float
 
 
-def compute_overrun(seconds: float, bound: float) -> float:
+def compute_lateness(seconds: float, bound: float) -> float:
     """Return how surely a bound is missed, 0 to 1, and a little for how far.
 
     A prediction is never exact, so what comes near the bound counts in part.
@@ -86,21 +87,21 @@
     return min(max(missed, 0.0), 1.0) + far
 
 
-def _compute_change(seconds: float, added: float, bound: float) -> float:
+def _compute_added_lateness(seconds: float, added: float, bound: float) -> float:
     """Return how much more surely a bound is missed with some time added."""
-    return compute_overrun(seconds + added, bound) - compute_overrun(seconds, bound)
+    return compute_lateness(seconds + added, bound) - compute_lateness(seconds, bound)
 
 
-def plan_reading(
+def plan_prefill(
     need: PromptNeed,
     engines: Sequence[str],
-    known: Mapping[str, EngineWork],
+    known: Mapping[str, EngineUsage],
     model: EngineModel,
     random: Random,
-    hears_peers: bool = True,
+    has_fresh_hints: bool = True,
     domains: Mapping[str, str] | None = None,
     own_domain: str = "",
-) -> ReadingPlan | None:
+) -> PrefillPlan | None:
     """Return the readers with the least predicted cost, None where none has memory.
 
     The order of the engines is the same on all hosts: prompts that one engine reads
@@ -109,38 +110,41 @@
     prompts: hosts that each pack blindly would all pack the same engines.
     """
     places = place_engines(need, engines, known, model, domains or {}, own_domain)
-    if not hears_peers:
+    if not has_fresh_hints:
         places = [replace(each, behind_lane=0, before_end=0.0) for each in places]
     chosen = _sample(places, need, random)
-    if not any(need.may_lead(each.name) for each in chosen):
+    if not any(need.can_lead(each.name) for each in chosen):
         return None
-    alone = model.compute_read_seconds(need.prompt_tokens)
+    single_engine_seconds = model.compute_read_seconds(need.prompt_tokens)
     best = None
-    needs_tickets = need.memory_tokens > model.memory_tokens * c.USABLE_MEMORY_SHARE
+    needs_reservations = (
+        need.memory_tokens > model.memory_tokens * c.USABLE_MEMORY_SHARE
+    )
     for count in c.PREFILL_ENGINE_COUNTS:
-        part = alone / count
+        part = single_engine_seconds / count
         if count > 1 and (
-            alone < c.MIN_PARALLEL_PREFILL_SECONDS or part < c.MIN_PREFILL_PART_SECONDS
+            single_engine_seconds < c.MIN_PARALLEL_PREFILL_SECONDS
+            or part < c.MIN_PREFILL_PART_SECONDS
         ):
             break
         if count > len(chosen):
             break
-        is_long = alone >= c.MIN_PARALLEL_PREFILL_SECONDS
+        is_long = single_engine_seconds >= c.MIN_PARALLEL_PREFILL_SECONDS
         candidates = [
             _build_candidate(
-                place, known.get(place.name, NO_WORK), part, model, is_long
+                place, known.get(place.name, IDLE_ENGINE), part, model, is_long
             )
             for place in chosen
         ]
-        if needs_tickets:
-            plan = _plan_group(count, part, candidates, need, model, random)
+        if needs_reservations:
+            plan = _plan_group_holders(count, part, candidates, need, model, random)
         else:
-            plan = _plan_for(count, part, candidates, need, model, random)
+            plan = _plan_single_holder(count, part, candidates, need, model, random)
         if plan is None:
             continue
         if is_long:
             outlook = observe_outlook(engines, known, model, plan.part_seconds)
-            loss = outlook.compute_loss(plan.readers, plan.part_seconds)
+            loss = outlook.compute_loss(plan.prefill_engines, plan.part_seconds)
             plan = replace(plan, cost=plan.cost + loss)
         if best is None or plan.cost < best.cost:
             best = plan
@@ -153,45 +157,53 @@
     """Return a bounded number of engines, the one that is to answer among them."""
     if len(places) <= c.MAX_PLAN_CANDIDATES:
         return places
-    settled = [each for each in places if each.name == need.leader]
+    fixed_leader = [each for each in places if each.name == need.leader]
     others = [each for each in places if each.name != need.leader]
-    return settled + random.sample(others, c.MAX_PLAN_CANDIDATES - len(settled))
+    return fixed_leader + random.sample(
+        others, c.MAX_PLAN_CANDIDATES - len(fixed_leader)
+    )
 
 
 def _build_candidate(
     place: EnginePlace,
-    work: EngineWork,
+    work: EngineUsage,
     part: float,
     model: EngineModel,
     is_long: bool,
-) -> _Candidate:
-    part *= work.pace
-    reading = work.reading_seconds * work.pace
-    steps = model.compute_write_seconds(work.writers, work.context_tokens) * work.pace
-    pause = steps + reading + part
+) -> _PrefillCandidate:
+    part *= work.slowdown
+    reading = work.prefill_seconds * work.slowdown
+    step_seconds = (
+        model.compute_write_seconds(work.decoding_requests, work.context_tokens)
+        * work.slowdown
+    )
+    pause = step_seconds + reading + part
     # What already misses its bound by the reading that waits there costs no more.
     cost = sum(
-        weight * _compute_change(pause - part, part, aim / MILLISECONDS)
+        weight * _compute_added_lateness(pause - part, part, aim / MILLISECONDS)
         for aim, weight in work.weights.items()
     ) + sum(
-        unread.weight * _compute_change(unread.ends_seconds, part, unread.aim_seconds)
-        for unread in work.unread
+        pending.weight
+        * _compute_added_lateness(pending.end_seconds, part, pending.aim_seconds)
+        for pending in work.pending_prefills
     )
     ends = reading + part
-    if work.writers:
-        ends += 1.5 * steps
-    order = place.weigh(is_long)
-    return _Candidate(place.name, work, ends, cost, order, place.weigh_distance())
+    if work.decoding_requests:
+        ends += 1.5 * step_seconds
+    position_cost = place.weigh(is_long)
+    return _PrefillCandidate(
+        place.name, work, ends, cost, position_cost, place.weigh_distance()
+    )
 
 
-def _plan_for(
+def _plan_single_holder(
     count: int,
     part: float,
-    candidates: list[_Candidate],
+    candidates: list[_PrefillCandidate],
     need: PromptNeed,
     model: EngineModel,
     random: Random,
-) -> ReadingPlan | None:
+) -> PrefillPlan | None:
     lead_cost, _, _, leader = min(
         (
             (
@@ -201,7 +213,7 @@
                 each,
             )
             for each in candidates
-            if need.may_lead(each.name)
+            if need.can_lead(each.name)
         ),
         key=lambda item: item[:3],
     )
@@ -213,124 +225,135 @@
     return replace(plan, pass_seconds=_compute_pass(leader, need, model, count))
 
 
-def _plan_group(
+def _plan_group_holders(
     count: int,
     part: float,
-    candidates: list[_Candidate],
+    candidates: list[_PrefillCandidate],
     need: PromptNeed,
     model: EngineModel,
     random: Random,
-) -> ReadingPlan | None:
+) -> PrefillPlan | None:
     """Return a plan whose readers hold the prompt together.
 
     The roomiest readers hold, so that few reservations are needed; the leader is the
     one of them where that costs least.
     """
-    settled = [each for each in candidates if each.name == need.leader]
+    fixed_leader = [each for each in candidates if each.name == need.leader]
     others = [each for each in candidates if each.name != need.leader]
-    readers = _choose_helpers(count - len(settled), others, need, model, random)
-    readers = settled + readers
-    roomy = sorted(readers, key=lambda each: (each.work.held_tokens, random.random()))
+    prefill_engines = _choose_helpers(
+        count - len(fixed_leader), others, need, model, random
+    )
+    prefill_engines = fixed_leader + prefill_engines
+    roomy = sorted(
+        prefill_engines, key=lambda each: (each.work.held_tokens, random.random())
+    )
     holders = roomy[: c.MAX_RESERVATIONS + 1]
-    if settled and settled[0] not in holders:
-        holders[-1] = settled[0]
-    if len(readers) < count or not holders:
+    if fixed_leader and fixed_leader[0] not in holders:
+        holders[-1] = fixed_leader[0]
+    if len(prefill_engines) < count or not holders:
         return None
     leader = min(
-        (each for each in holders if need.may_lead(each.name)),
-        key=lambda each: (_count_room(each, model) <= 0, each.cost),
+        (each for each in holders if need.can_lead(each.name)),
+        key=lambda each: (_compute_room(each, model) <= 0, each.cost),
     )
-    left = need.memory_tokens - max(_count_room(leader, model), 0)
-    tickets: dict[str, int] = {}
+    left = need.memory_tokens - max(_compute_room(leader, model), 0)
+    reserved_tokens: dict[str, int] = {}
     for each in holders:
         if left <= 0:
             break
-        tokens = min(_count_room(each, model), left)
+        tokens = min(_compute_room(each, model), left)
         if each is leader or tokens <= 0:
             continue
-        tickets[each.name] = tokens
+        reserved_tokens[each.name] = tokens
         left -= tokens
     if left > 0:
         return None
-    rest = need.memory_tokens - sum(tickets.values())
+    rest = need.memory_tokens - sum(reserved_tokens.values())
     lead_cost = _compute_lead_cost(leader, need, model, rest)
     # Tickets are filled in the order in which they are listed.
-    held = [each for each in holders if each.name in tickets]
-    only_read = [
-        each for each in readers if each is not leader and each.name not in tickets
+    held = [each for each in holders if each.name in reserved_tokens]
+    without_memory = [
+        each
+        for each in prefill_engines
+        if each is not leader and each.name not in reserved_tokens
     ]
-    plan = _build_plan([leader, *held, *only_read], part, lead_cost, need, tickets)
+    plan = _build_plan(
+        [leader, *held, *without_memory], part, lead_cost, need, reserved_tokens
+    )
     return replace(plan, pass_seconds=_compute_pass(leader, need, model, count))
 
 
 def _choose_helpers(
     count: int,
-    candidates: list[_Candidate],
+    candidates: list[_PrefillCandidate],
     need: PromptNeed,
     model: EngineModel,
     random: Random,
-) -> list[_Candidate]:
+) -> list[_PrefillCandidate]:
     """Return the engines where a part costs least and ends soonest."""
-    able = [each for each in candidates if each.work.parts < model.slots - 1]
+    able = [each for each in candidates if each.work.helper_parts < model.slots - 1]
     return sorted(
         able,
         key=lambda each: (
             each.cost
-            + each.order
-            + need.weight * compute_overrun(each.ends_seconds, need.aim_seconds),
+            + each.position_cost
+            + need.weight
+            * compute_lateness(each.prefill_end_seconds, need.aim_seconds),
             random.random(),
         ),
     )[:count]
 
 
 def _build_plan(
-    readers: list[_Candidate],
+    prefill_engines: list[_PrefillCandidate],
     part: float,
     lead_cost: float,
     need: PromptNeed,
-    tickets: Mapping[str, int] | None = None,
-) -> ReadingPlan:
-    first = max(each.ends_seconds for each in readers)
+    reserved_tokens: Mapping[str, int] | None = None,
+) -> PrefillPlan:
+    first = max(each.prefill_end_seconds for each in prefill_engines)
     cost = (
         lead_cost
-        + sum(each.cost + each.order for each in readers[1:])
-        + need.weight * compute_overrun(first, need.aim_seconds)
-        + c.PREFILL_ENGINE_COST * len(readers)
+        + sum(each.cost + each.position_cost for each in prefill_engines[1:])
+        + need.weight * compute_lateness(first, need.aim_seconds)
+        + c.PREFILL_ENGINE_COST * len(prefill_engines)
     )
-    return ReadingPlan(
-        readers=tuple(each.name for each in readers),
+    return PrefillPlan(
+        prefill_engines=tuple(each.name for each in prefill_engines),
         part_seconds=part,
-        reads_until={each.name: each.ends_seconds for each in readers},
+        prefill_end_seconds={
+            each.name: each.prefill_end_seconds for each in prefill_engines
+        },
         first_event_seconds=first,
         cost=cost,
-        tickets=tickets or {},
+        reserved_tokens=reserved_tokens or {},
     )
 
 
 def _compute_pass(
-    leader: _Candidate, need: PromptNeed, model: EngineModel, count: int
+    leader: _PrefillCandidate, need: PromptNeed, model: EngineModel, count: int
 ) -> float:
     context = leader.work.context_tokens + need.prompt_tokens // count
-    return model.compute_write_seconds(leader.work.writers + 1, context)
+    return model.compute_write_seconds(leader.work.decoding_requests + 1, context)
 
 
-def _count_room(each: _Candidate, model: EngineModel) -> int:
+def _compute_room(each: _PrefillCandidate, model: EngineModel) -> int:
     """Return the memory that a part may take, with some left beside it."""
     return int(model.memory_tokens * c.RESERVABLE_MEMORY_SHARE) - each.work.held_tokens
 
 
 def _compute_lead_cost(
-    each: _Candidate, need: PromptNeed, model: EngineModel, tokens: int
+    each: _PrefillCandidate, need: PromptNeed, model: EngineModel, tokens: int
 ) -> float:
     """Return what it costs that this engine holds and writes the answer."""
     work = each.work
-    pause = model.compute_write_seconds(work.writers + 1, work.context_tokens)
-    pause = (pause + work.reading_seconds) * work.pace
-    cost = each.cost + each.order + each.distance
-    cost += need.weight * compute_overrun(pause, need.pause_aim_seconds)
+    pause = model.compute_write_seconds(work.decoding_requests + 1, work.context_tokens)
+    pause = (pause + work.prefill_seconds) * work.slowdown
+    cost = each.cost + each.position_cost + each.distance_cost
+    cost += need.weight * compute_lateness(pause, need.pause_aim_seconds)
     over = work.requests + 1 - model.slots
-    first = each.ends_seconds + max(over, 0) * c.SLOT_WAIT_SECONDS
-    cost += need.weight * compute_overrun(first, need.aim_seconds)
+    first = each.prefill_end_seconds + max(over, 0) * c.SLOT_WAIT_SECONDS
+    cost += need.weight * compute_lateness(first, need.aim_seconds)
     # Without memory the newest request loses its place and is read again.
     room = model.memory_tokens * c.USABLE_MEMORY_SHARE - work.held_tokens
     if tokens > room:
--- a/libraries/placement/tarragonward_placement/relocation.py
+++ b/libraries/placement/tarragonward_placement/relocation.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from . import const as c
-from .fleet import EngineWork
+from .fleet import EngineUsage
 
 __all__ = ["gains_by_moving", "predict_wait"]
 
 
-def predict_wait(work: EngineWork, pass_seconds: float) -> float:
+def predict_wait(work: EngineUsage, pass_seconds: float) -> float:
     """Return the seconds until an engine's writers have their next event."""
-    return (work.reading_seconds + pass_seconds) * work.pace
+    return (work.prefill_seconds + pass_seconds) * work.slowdown
 
 
 def gains_by_moving(waits: float, elsewhere: float, limit: float) -> bool:
--- a/libraries/placement/tarragonward_placement/widening.py
+++ b/libraries/placement/tarragonward_placement/widening.py
@@ -6,16 +6,16 @@
 
 from . import const as c
 from .places import PromptNeed
-from .readings import ReadingPlan
+from .readings import PrefillPlan
 
 __all__ = ["widen_plan"]
 
 
 def widen_plan(
-    near: ReadingPlan | None,
+    near: PrefillPlan | None,
     need: PromptNeed,
-    plan_fleet: Callable[[], ReadingPlan | None],
-) -> ReadingPlan | None:
+    plan_fleet: Callable[[], PrefillPlan | None],
+) -> PrefillPlan | None:
     """Return the plan within the cell, or the fleet's where it is better by far.
 
     It is the load of long prompts that come in a burst: each takes most engines of a
--- a/libraries/placement/tests/test_outlook.py
+++ b/libraries/placement/tests/test_outlook.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tarragonward_placement import EngineWork
+from tarragonward_placement import EngineUsage
 from tarragonward_placement.outlook import Outlook, observe_outlook
 from tarragonward_routes import EngineModel
 
@@ -21,8 +21,8 @@
     usual_answer_tokens=46 * 30,
 )
 ENGINES = [f"e{number}" for number in range(10)]
-WRITING = EngineWork(writers=6, weights={200: 9.0})
-READING = EngineWork(reading_seconds=2.0)
+WRITING = EngineUsage(decoding_requests=6, weights={200: 9.0})
+READING = EngineUsage(prefill_seconds=2.0)
 
 
 def observe(busy=(), reading=(), seconds=2.0):
--- a/libraries/placement/tests/test_paces.py
+++ b/libraries/placement/tests/test_paces.py
@@ -3,26 +3,26 @@
 import msgpack
 import pytest
 
-from tarragonward_placement import FleetBook
+from tarragonward_placement import FleetUsageTracker
 from tarragonward_placement import const as c
 
 
-def make_book(*paces, engine="e1"):
+def make_book(*slowdowns, engine="e1"):
     """Return the book of a host that saw these passes of an engine."""
-    book = FleetBook()
-    for pace in paces:
-        book.note_pass(engine, pace, now=1.0)
+    book = FleetUsageTracker()
+    for slowdown in slowdowns:
+        book.record_pass(engine, slowdown, now=1.0)
     return book
 
 
 def hear(*peers):
     """Return the pace of the engine as a host knows it that heard these peers."""
-    book = FleetBook()
+    book = FleetUsageTracker()
     for number, peer in enumerate(peers):
         digest = msgpack.unpackb(msgpack.packb(peer.build_digest(1.0)))
-        book.take_digest(f"peer{number}", digest, 0.0, 1.0)
-    work = book.get_all(1.1).get("e1")
-    return work.pace if work is not None else 1.0
+        book.apply_digest(f"peer{number}", digest, 0.0, 1.0)
+    work = book.get_usage(1.1).get("e1")
+    return work.slowdown if work is not None else 1.0
 
 
 SLOW, FAST = (4.0, 4.0, 4.0, 4.0), (1.0, 1.0, 1.0, 1.0)
@@ -40,7 +40,7 @@
 
 
 def test_what_a_host_sees_itself_counts_without_peers():
-    assert make_book(*SLOW).get_all(1.1)["e1"].pace == pytest.approx(4.0)
+    assert make_book(*SLOW).get_usage(1.1)["e1"].slowdown == pytest.approx(4.0)
 
 
 def test_peers_tell_only_while_they_know():
@@ -53,21 +53,21 @@
 
 def test_a_fleet_that_is_slow_as_a_whole_is_told_alike():
     """Then nothing is an outlier: all engines keep their order."""
-    peers = [FleetBook(), FleetBook()]
+    peers = [FleetUsageTracker(), FleetUsageTracker()]
     for peer in peers:
         for engine in ("e1", "e2", "e3"):
             for _ in range(4):
-                peer.note_pass(engine, 3.0, now=1.0)
-    book = FleetBook()
+                peer.record_pass(engine, 3.0, now=1.0)
+    book = FleetUsageTracker()
     for number, peer in enumerate(peers):
-        book.take_digest(str(number), peer.build_digest(1.0), 0.0, 1.0)
-    assert {work.pace for work in book.get_all(1.1).values()} == {3.0}
+        book.apply_digest(str(number), peer.build_digest(1.0), 0.0, 1.0)
+    assert {work.slowdown for work in book.get_usage(1.1).values()} == {3.0}
 
 
 @pytest.mark.parametrize("told", [-5, 0, 10**9])
 def test_a_pace_that_cannot_be_is_bounded(told):
-    book = FleetBook()
+    book = FleetUsageTracker()
     entry = [0, 0, 0, 0, 0, 0, [], [], told]
     for peer in ("one", "other"):
-        book.take_digest(peer, {"e1": entry}, 0.0, 1.0)
-    assert 1.0 <= book.get_all(1.0)["e1"].pace <= c.MAX_SLOWDOWN
+        book.apply_digest(peer, {"e1": entry}, 0.0, 1.0)
+    assert 1.0 <= book.get_usage(1.0)["e1"].slowdown <= c.MAX_SLOWDOWN
--- a/libraries/placement/tests/test_places.py
+++ b/libraries/placement/tests/test_places.py
@@ -1,6 +1,6 @@
 """The lanes that keep short prompts from long ones, one a failure domain."""
 
-from tarragonward_placement import EngineWork, PromptNeed
+from tarragonward_placement import EngineUsage, PromptNeed
 from tarragonward_placement.places import place_engines
 from tarragonward_routes import EngineModel
 
@@ -21,7 +21,8 @@
     The engines beyond the lanes stay free of writers that bear no pause.
     """
     busy = {
-        f"b{number}": EngineWork(writers=6, weights={200: 9.0}) for number in (0, 1)
+        f"b{number}": EngineUsage(decoding_requests=6, weights={200: 9.0})
+        for number in (0, 1)
     }
     places = place(busy)
     in_lane = [name for name, each in places.items() if not each.behind_lane]
--- a/libraries/placement/tests/test_readings.py
+++ b/libraries/placement/tests/test_readings.py
@@ -9,11 +9,11 @@
 import pytest
 
 from tarragonward_placement import (
-    EngineWork,
-    FleetBook,
+    EngineUsage,
+    FleetUsageTracker,
+    PrefillPlan,
     PromptNeed,
-    ReadingPlan,
-    plan_reading,
+    plan_prefill,
 )
 from tarragonward_placement import const as c
 from tarragonward_routes import EngineModel
@@ -36,27 +36,27 @@
 
 def plan(
     need: PromptNeed,
-    known: dict[str, EngineWork] | None = None,
+    known: dict[str, EngineUsage] | None = None,
     engines: list[str] | None = None,
-    hears_peers: bool = True,
-) -> ReadingPlan:
+    has_fresh_hints: bool = True,
+) -> PrefillPlan:
     """Return the plan on the engines of this file."""
-    chosen = plan_reading(
+    chosen = plan_prefill(
         need,
         ENGINES if engines is None else engines,
         known or {},
         MODEL,
         Random(1),
-        hears_peers,
+        has_fresh_hints,
     )
     assert chosen is not None
     return chosen
 
 
-def build_short_writers(count: int) -> EngineWork:
+def build_short_writers(count: int) -> EngineUsage:
     """Return an engine on which so many short prompts are answered."""
-    return EngineWork(
-        writers=count,
+    return EngineUsage(
+        decoding_requests=count,
         context_tokens=count * 5_000,
         held_tokens=count * 5_500,
         weights={200: count * 1.5},
@@ -65,7 +65,7 @@
 
 def test_short_prompts_share_an_engine_with_short_writers() -> None:
     """Engines without short writers stay free for long readings."""
-    assert plan(SHORT).readers == ("e00",)
+    assert plan(SHORT).prefill_engines == ("e00",)
     assert plan(SHORT, {"e00": build_short_writers(3)}).leader in ("e00", "e01")
 
 
@@ -77,7 +77,7 @@
 def test_long_prompt_spares_the_writers_that_bear_no_pause() -> None:
     """One long reading holds a writer's next event for seconds."""
     known = {name: build_short_writers(4) for name in ENGINES[:4]}
-    readers = plan(LONG, known).readers
+    readers = plan(LONG, known).prefill_engines
     assert len(readers) > 1
     assert not set(readers) & set(known)
 
@@ -91,14 +91,18 @@
 
 def test_short_prompt_avoids_an_engine_that_reads_a_long_one() -> None:
     """The short prompt would be read after the long one."""
-    known = {"e00": EngineWork(readers=1, reading_seconds=2.5, weights={800: 22.0})}
+    known = {
+        "e00": EngineUsage(
+            prefilling_requests=1, prefill_seconds=2.5, weights={800: 22.0}
+        )
+    }
     assert plan(SHORT, known).leader != "e00"
 
 
 def test_prompt_goes_where_its_memory_is_free() -> None:
     """Where memory runs out, the newest request loses its place."""
     known = {
-        name: EngineWork(writers=2, held_tokens=400_000, weights={800: 40.0})
+        name: EngineUsage(decoding_requests=2, held_tokens=400_000, weights={800: 40.0})
         for name in ENGINES[1:]
     }
     assert plan(LONG, known).leader == "e00"
@@ -107,13 +111,19 @@
 def test_prompt_beyond_one_engine_is_held_by_several() -> None:
     """The tickets and the leader's own memory hold all of it, with room left."""
     huge = PromptNeed(900_000, 800, 3.0, 0.8)
-    known = {"e03": EngineWork(writers=1, held_tokens=200_000, weights={800: 20.0})}
+    known = {
+        "e03": EngineUsage(
+            decoding_requests=1, held_tokens=200_000, weights={800: 20.0}
+        )
+    }
     chosen = plan(huge, known)
     held = chosen.build_work(huge, now=0.0).held_tokens
     assert sum(held.values()) == huge.memory_tokens
-    assert set(chosen.tickets) <= set(chosen.readers[1:])
-    assert chosen.leader not in chosen.tickets
-    assert chosen.readers[1 : 1 + len(chosen.tickets)] == tuple(chosen.tickets)
+    assert set(chosen.reserved_tokens) <= set(chosen.prefill_engines[1:])
+    assert chosen.leader not in chosen.reserved_tokens
+    assert chosen.prefill_engines[1 : 1 + len(chosen.reserved_tokens)] == tuple(
+        chosen.reserved_tokens
+    )
     for engine, tokens in held.items():
         taken = known[engine].held_tokens if engine in known else 0
         assert tokens + taken < MODEL.memory_tokens
@@ -122,13 +132,13 @@
 def test_prompt_beyond_all_memory_has_no_plan() -> None:
     """No group holds it, so it is refused at once."""
     huge = PromptNeed(900_000, 800, 3.0, 0.8)
-    assert plan_reading(huge, ENGINES[:2], {}, MODEL, Random(1)) is None
+    assert plan_prefill(huge, ENGINES[:2], {}, MODEL, Random(1)) is None
 
 
 def test_host_that_hears_no_peer_spreads_short_prompts() -> None:
     """All hosts that pack blindly would pack the same engine."""
     leaders = {
-        plan_reading(SHORT, ENGINES, {}, MODEL, Random(seed), False).leader  # type: ignore[union-attr]
+        plan_prefill(SHORT, ENGINES, {}, MODEL, Random(seed), False).leader  # type: ignore[union-attr]
         for seed in range(40)
     }
     assert len(leaders) > len(ENGINES) / 2
@@ -136,36 +146,36 @@
 
 def test_book_counts_own_work_until_it_ends() -> None:
     """The reading shrinks with time and is over at the first event."""
-    book = FleetBook()
+    book = FleetUsageTracker()
     chosen = plan(LONG)
     work = chosen.build_work(LONG, now=10.0)
     book.begin(work)
-    known = book.get_all(10.0)
-    assert set(known) == set(chosen.readers)
-    assert known[chosen.leader].reading_seconds == pytest.approx(chosen.part_seconds)
+    known = book.get_usage(10.0)
+    assert set(known) == set(chosen.prefill_engines)
+    assert known[chosen.leader].prefill_seconds == pytest.approx(chosen.part_seconds)
     assert known[chosen.leader].held_tokens == LONG.memory_tokens
-    assert known[chosen.readers[-1]].parts == 1
+    assert known[chosen.prefill_engines[-1]].helper_parts == 1
     work.first_event_at = 11.0
-    assert book.get_all(11.0)[chosen.leader].writers == 1
-    assert book.get_all(11.0)[chosen.leader].reading_seconds == 0
+    assert book.get_usage(11.0)[chosen.leader].decoding_requests == 1
+    assert book.get_usage(11.0)[chosen.leader].prefill_seconds == 0
     book.end(work)
-    assert book.get_all(11.0) == {}
+    assert book.get_usage(11.0) == {}
 
 
 def test_digest_of_a_peer_counts_and_ages() -> None:
     """A hint is worth what is still left of it, and then nothing."""
-    peer, book = FleetBook(), FleetBook()
+    peer, book = FleetUsageTracker(), FleetUsageTracker()
     chosen = plan(LONG)
     peer.begin(chosen.build_work(LONG, now=10.0))
     digest = msgpack.unpackb(msgpack.packb(peer.build_digest(10.0)))
-    book.take_digest("peer", digest, age=0.1, now=50.0)
-    seen = book.get_all(50.0)[chosen.leader]
-    assert seen.readers == 1
-    assert seen.reading_seconds == pytest.approx(chosen.part_seconds - 0.1, abs=0.002)
+    book.apply_digest("peer", digest, age=0.1, now=50.0)
+    seen = book.get_usage(50.0)[chosen.leader]
+    assert seen.prefilling_requests == 1
+    assert seen.prefill_seconds == pytest.approx(chosen.part_seconds - 0.1, abs=0.002)
     assert seen.weights == {800: 22.0}
-    assert book.hears_peers(50.0)
-    assert book.get_all(60.0) == {}
-    assert not book.hears_peers(60.0)
+    assert book.has_fresh_hints(50.0)
+    assert book.get_usage(60.0) == {}
+    assert not book.has_fresh_hints(60.0)
 
 
 @pytest.mark.parametrize(
@@ -173,31 +183,31 @@
 )
 def test_digest_that_is_none_changes_nothing(data: object) -> None:
     """A peer of another version may send anything."""
-    book = FleetBook()
-    book.take_digest("peer", data, age=0.0, now=1.0)
-    assert book.get_all(1.0) == {}
+    book = FleetUsageTracker()
+    book.apply_digest("peer", data, age=0.0, now=1.0)
+    assert book.get_usage(1.0) == {}
 
 
 def test_engine_counts_stand_in_for_peers_that_are_not_heard() -> None:
     """What the engine has beyond the host's own is taken to write."""
-    book = FleetBook()
-    book.note_count("e00", 5, now=1.0)
-    assert book.get_all(1.0)["e00"].writers == 5
-    assert book.get_all(5.0) == {}
+    book = FleetUsageTracker()
+    book.record_request_count("e00", 5, now=1.0)
+    assert book.get_usage(1.0)["e00"].decoding_requests == 5
+    assert book.get_usage(5.0) == {}
 
 
 def test_counts_of_engines_that_are_gone_are_forgotten_beside_peers() -> None:
     """Each start of an engine has a new id; its count must not be kept for good."""
-    book = FleetBook()
-    book.take_digest("peer", {}, age=0.0, now=9.0)
-    book.note_count("e00", 5, now=1.0)
-    book.get_all(9.0)
+    book = FleetUsageTracker()
+    book.apply_digest("peer", {}, age=0.0, now=9.0)
+    book.record_request_count("e00", 5, now=1.0)
+    book.get_usage(9.0)
     assert not book._counts
 
 
 def test_peers_are_told_at_once_of_a_long_reading_only() -> None:
     """Until they hear of it, they send short prompts to its engines."""
-    book = FleetBook()
+    book = FleetUsageTracker()
     told: list[int] = []
     book.on_change.append(lambda is_long: told.append(1))
     book.begin(plan(SHORT).build_work(SHORT, now=1.0))
@@ -208,8 +218,8 @@
 
 def test_mates_that_are_told_seldom_are_told_of_each_prompt_at_once() -> None:
     """Tens of mates can't be told in each round; between two, all pick one engine."""
-    book = FleetBook()
-    book.tells_each = True
+    book = FleetUsageTracker()
+    book.announces_every_prompt = True
     told: list[int] = []
     book.on_change.append(lambda is_long: told.append(1))
     book.begin(plan(SHORT).build_work(SHORT, now=1.0))
@@ -222,24 +232,26 @@
     One event that came late, or the reading of another prompt, does not make an
     engine slow; and it is tried again once nothing was seen of it for a while.
     """
-    book = FleetBook()
+    book = FleetUsageTracker()
     for number in range(c.SLOWDOWN_SAMPLES):
-        book.note_pass("e00", 6.0, now=1.0)
-        book.note_pass("e01", 6.0 if number % 2 else 1.1, now=1.0)
-    known = book.get_all(1.0)
-    assert known["e00"].pace == 6.0
+        book.record_pass("e00", 6.0, now=1.0)
+        book.record_pass("e01", 6.0 if number % 2 else 1.1, now=1.0)
+    known = book.get_usage(1.0)
+    assert known["e00"].slowdown == 6.0
     assert "e01" not in known
     two = ENGINES[:2]
     assert plan(SHORT, known, two).leader == "e01"
-    assert book.get_all(1.1 + c.MAX_SLOWDOWN_AGE_SECONDS) == {}
+    assert book.get_usage(1.1 + c.MAX_SLOWDOWN_AGE_SECONDS) == {}
 
 
 def test_a_slow_reader_makes_a_joint_reading_longer() -> None:
     """Its part ends as much later as its passes take longer."""
-    slow = {name: EngineWork(pace=4.0) for name in ENGINES}
+    slow = {name: EngineUsage(slowdown=4.0) for name in ENGINES}
     first = plan(LONG, slow).first_event_seconds
     assert first > 2 * plan(LONG).first_event_seconds
-    assert set(plan(LONG, {"e03": EngineWork(pace=4.0)}).readers).isdisjoint({"e03"})
+    assert set(
+        plan(LONG, {"e03": EngineUsage(slowdown=4.0)}).prefill_engines
+    ).isdisjoint({"e03"})
 
 
 def test_an_engine_that_is_settled_answers_among_many() -> None:
@@ -252,7 +264,7 @@
     for need in (SHORT, LONG, replace(LONG, prompt_tokens=900_000)):
         assert plan(replace(need, leader=many[-1]), engines=many).leader == many[-1]
     gone = replace(SHORT, leader="gone")
-    assert plan_reading(gone, many, {}, MODEL, Random(1)) is None
+    assert plan_prefill(gone, many, {}, MODEL, Random(1)) is None
 
 
 def test_a_huge_prompt_leaves_engines_for_those_who_come_meanwhile() -> None:
@@ -271,6 +283,6 @@
         pair_seconds=1.84e-10,
         usual_answer_tokens=1_400,
     )
-    chosen = plan_reading(huge, engines, known, slow, Random(1))
+    chosen = plan_prefill(huge, engines, known, slow, Random(1))
     assert chosen is not None
-    assert not set(chosen.readers) & set(known)
+    assert not set(chosen.prefill_engines) & set(known)
--- a/libraries/placement/tests/test_relocation.py
+++ b/libraries/placement/tests/test_relocation.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tarragonward_placement import EngineWork, gains_by_moving, predict_wait
+from tarragonward_placement import EngineUsage, gains_by_moving, predict_wait
 
 PAUSE_AIM = 0.25
 
@@ -22,5 +22,5 @@
 
 
 def test_a_slow_engine_holds_its_writers_longer():
-    work = EngineWork(reading_seconds=0.2, pace=2.0)
+    work = EngineUsage(prefill_seconds=0.2, slowdown=2.0)
     assert predict_wait(work, 0.05) == pytest.approx(0.5)
--- a/libraries/placement/tests/test_summaries.py
+++ b/libraries/placement/tests/test_summaries.py
@@ -3,7 +3,7 @@
 import msgpack
 import pytest
 
-from tarragonward_placement import FleetBook, PromptNeed, ReadingPlan
+from tarragonward_placement import FleetUsageTracker, PrefillPlan, PromptNeed
 from tarragonward_placement import const as c
 
 LONG = PromptNeed(260_000, 700, 4.0, 1.0)
@@ -12,10 +12,10 @@
 
 def make_book(*readers, seconds=1.0, now=0.0):
     """Return the book of a host that has sent a long prompt to these engines."""
-    book = FleetBook()
+    book = FleetUsageTracker()
     if readers:
         until = dict.fromkeys(readers, seconds)
-        plan = ReadingPlan(readers, seconds, until, seconds, 0.0)
+        plan = PrefillPlan(readers, seconds, until, seconds, 0.0)
         book.begin(plan.build_work(LONG, now))
     return book
 
@@ -27,11 +27,11 @@
 def test_a_summary_tells_of_all_that_a_host_knows_of_its_cell():
     """A long prompt of another cell must not be read where short ones are written."""
     book, peer = make_book("e1"), make_book("e2")
-    book.take_digest("peer", peer.build_digest(0.0), 0.0, 0.0)
+    book.apply_digest("peer", peer.build_digest(0.0), 0.0, 0.0)
     far = make_book()
-    far.take_summary(tell(book), 0.0, 0.0)
-    known = far.get_all(0.2)
-    assert known["e1"].reading_seconds == pytest.approx(0.8)
+    far.apply_summary(tell(book), 0.0, 0.0)
+    known = far.get_usage(0.2)
+    assert known["e1"].prefill_seconds == pytest.approx(0.8)
     assert known["e2"].requests == 1
     assert not known["e3"].requests
 
@@ -39,36 +39,36 @@
 def test_what_is_told_twice_of_an_engine_counts_once():
     """A reading is told at once, and again in the summary of the engine's cell."""
     reader, near, far = make_book("e1"), make_book(), make_book()
-    near.take_digest("reader", reader.build_digest(0.0), 0.0, 0.0)
-    far.take_digest("reader", reader.build_digest(0.0), 0.0, 0.0)
-    far.take_summary(tell(near), 0.0, 0.0)
-    known = far.get_all(0.1)["e1"]
-    assert (known.requests, known.reading_seconds) == (1, pytest.approx(0.9))
+    near.apply_digest("reader", reader.build_digest(0.0), 0.0, 0.0)
+    far.apply_digest("reader", reader.build_digest(0.0), 0.0, 0.0)
+    far.apply_summary(tell(near), 0.0, 0.0)
+    known = far.get_usage(0.1)["e1"]
+    assert (known.requests, known.prefill_seconds) == (1, pytest.approx(0.9))
 
 
 def test_an_older_summary_does_not_replace_a_newer_one():
     far = make_book()
-    far.take_summary(tell(make_book("e1")), 0.0, 1.0)
-    far.take_summary(tell(make_book()), 0.5, 1.0)
-    assert far.get_all(1.0)["e1"].requests == 1
-    far.take_summary(tell(make_book()), 0.0, 1.1)
-    assert not far.get_all(1.1)["e1"].requests
+    far.apply_summary(tell(make_book("e1")), 0.0, 1.0)
+    far.apply_summary(tell(make_book()), 0.5, 1.0)
+    assert far.get_usage(1.0)["e1"].requests == 1
+    far.apply_summary(tell(make_book()), 0.0, 1.1)
+    assert not far.get_usage(1.1)["e1"].requests
 
 
 def test_a_summary_is_not_told_on():
     """Two hosts count an engine as theirs, and tell each other of work long ended."""
     one, other = make_book("e1"), make_book()
-    other.take_summary(tell(one), 0.0, 0.0)
-    assert other.get_all(0.1)["e1"].requests == 1
+    other.apply_summary(tell(one), 0.0, 0.0)
+    assert other.get_usage(0.1)["e1"].requests == 1
     assert tell(other, 0.1) == {engine: [] for engine in CELL}
 
 
 def test_summaries_are_forgotten_once_they_are_old():
     """Hosts of a cell that is cut off tell nothing: its engines count as unknown."""
     far = make_book()
-    far.take_summary(tell(make_book("e1", seconds=9.0)), 0.0, 0.0)
-    assert "e1" in far.get_all(c.MAX_HINT_AGE_SECONDS)
-    assert "e1" not in far.get_all(c.MAX_HINT_AGE_SECONDS + 0.1)
+    far.apply_summary(tell(make_book("e1", seconds=9.0)), 0.0, 0.0)
+    assert "e1" in far.get_usage(c.MAX_HINT_AGE_SECONDS)
+    assert "e1" not in far.get_usage(c.MAX_HINT_AGE_SECONDS + 0.1)
 
 
 @pytest.mark.parametrize("data", [None, [1], {"e1": [1, 2]}, {"e1": "word"}])
@@ -76,5 +76,5 @@
     """It may come from a host of another version."""
     far = make_book()
     with pytest.raises((AttributeError, TypeError, ValueError)):
-        far.take_summary(data, 0.0, 0.0)
-    assert not far.get_all(0.0)
+        far.apply_summary(data, 0.0, 0.0)
+    assert not far.get_usage(0.0)
--- a/libraries/placement/tests/test_widening.py
+++ b/libraries/placement/tests/test_widening.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tarragonward_placement import EngineWork, PromptNeed, plan_reading, widen_plan
+from tarragonward_placement import EngineUsage, PromptNeed, plan_prefill, widen_plan
 from tarragonward_routes import EngineModel
 
 MODEL = EngineModel(
@@ -22,7 +22,7 @@
 SHORT = PromptNeed(5_000, 500, 0.3, 0.25)
 NEAR = [f"near{number}" for number in range(20)]
 FAR = [f"far{number}" for number in range(20)]
-READING = EngineWork(readers=1, parts=1, reading_seconds=4.0)
+READING = EngineUsage(prefilling_requests=1, helper_parts=1, prefill_seconds=4.0)
 DOMAINS = dict.fromkeys(NEAR, "near") | dict.fromkeys(FAR, "far")
 
 
@@ -30,14 +30,14 @@
     """Return the plan of a host whose cell has the near engines."""
 
     def plan_among(names):
-        return plan_reading(need, names, known, MODEL, Random(1), True, DOMAINS, "near")
+        return plan_prefill(need, names, known, MODEL, Random(1), True, DOMAINS, "near")
 
     return widen_plan(plan_among(NEAR), need, lambda: plan_among([*NEAR, *FAR]))
 
 
 def test_a_prompt_that_its_cell_serves_in_time_stays_there():
-    assert set(plan(LONG, {}).readers) <= set(NEAR)
-    assert set(plan(SHORT, {}).readers) <= set(NEAR)
+    assert set(plan(LONG, {}).prefill_engines) <= set(NEAR)
+    assert set(plan(SHORT, {}).prefill_engines) <= set(NEAR)
 
 
 @pytest.mark.parametrize("need", [LONG, SHORT])
@@ -45,18 +45,20 @@
     """Long prompts come in a burst; the next one waits while other cells idle."""
     known = dict.fromkeys(NEAR, READING)
     chosen = plan(need, known)
-    assert set(chosen.readers) <= set(FAR)
+    assert set(chosen.prefill_engines) <= set(FAR)
     assert chosen.first_event_seconds < need.aim_seconds
 
 
 def test_a_prompt_stays_where_all_cells_are_as_full():
     """What is known of other cells is older: a small gain there may be none."""
     known = dict.fromkeys([*NEAR, *FAR], READING)
-    known["far3"] = EngineWork(readers=1, parts=1, reading_seconds=3.9)
-    assert set(plan(SHORT, known).readers) <= set(NEAR)
+    known["far3"] = EngineUsage(
+        prefilling_requests=1, helper_parts=1, prefill_seconds=3.9
+    )
+    assert set(plan(SHORT, known).prefill_engines) <= set(NEAR)
 
 
 def test_no_engine_near_is_no_reason_to_refuse():
-    wide = plan_reading(LONG, FAR, {}, MODEL, Random(1))
+    wide = plan_prefill(LONG, FAR, {}, MODEL, Random(1))
     assert widen_plan(None, LONG, lambda: wide) is wide
     assert widen_plan(wide, LONG, lambda: None) is wide
