--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -63,7 +63,7 @@
         leader = (self._exchange.is_started and self.abandoned) or self._leader
         placement = await self._async_place(leader if to_previous_target else "")
         if placement is None and to_previous_target:
-            self._exchange.cancel_resend()
+            self._exchange.count_unplaced_resend()
             if self._exchange.can_send_again(self._loop.time()):
                 placement = await self._async_place()
         if placement is None and self.abandoned:
--- a/libraries/requests/tarragonward_requests/exchange.py
+++ b/libraries/requests/tarragonward_requests/exchange.py
@@ -1,4 +1,4 @@
-"""Decide what becomes of one forwarded request: send, send again, answer, break off."""
+"""Decide the next step of one forwarded request: send, retry, answer or abort."""
 
 from __future__ import annotations
 
@@ -30,7 +30,11 @@
 
 
 class SendFault(Enum):
-    """Why a send brought no answer that may be passed on."""
+    """Why a send produced no answer that can be forwarded.
+
+    SPOILED: the answer was invalid or incomplete. SILENT: the target sent nothing for
+    too long. MOVED: the host abandoned a working target for a faster one.
+    """
 
     NO_TARGET = "no target"
     NOT_CONNECTED = "not connected"
@@ -42,7 +46,7 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Return whether the target certainly ran nothing."""
+        """Return whether the target cannot have run any part of the request."""
         return self in (
             SendFault.NO_TARGET,
             SendFault.NOT_CONNECTED,
@@ -52,7 +56,7 @@
 
 @dataclass(frozen=True)
 class ExchangePolicy:
-    """What the route allows; times are the loop's, in seconds."""
+    """What the route allows; deadline is in seconds of the event loop's clock."""
 
     may_run_again: bool
     is_stream: bool
@@ -64,7 +68,8 @@
 class SendFailed:
     """A send ended without an answer.
 
-    is_helper_fault: the target refused it, as another one that should help it can't.
+    is_helper_fault: the target refused because one of its helper engines is not able to
+    take part.
     """
 
     fault: SendFault
@@ -74,16 +79,17 @@
 
 @dataclass(frozen=True)
 class TargetAnswered:
-    """A whole answer came; is_failure where the target itself failed."""
+    """A complete answer arrived; is_failure if its status is 5xx."""
 
     is_failure: bool
 
 
 @dataclass(frozen=True)
 class Blamed:
-    """The request is held to end the targets that run it.
+    """The request is suspected of crashing the targets that run it.
 
-    wait_seconds: for how long another host may still try it; None where it is refused.
+    wait_seconds: how long the caller has to wait while another host may be trying the
+    request, or None if it is refused.
     """
 
     wait_seconds: float | None = None
@@ -91,27 +97,28 @@
 
 @dataclass(frozen=True)
 class AnswerStarted:
-    """The head of a streamed answer was given to the caller."""
+    """The head of a streamed answer was sent to the caller."""
 
 
 @dataclass(frozen=True)
 class EventsGiven:
-    """The caller was given the stream up to this event number."""
+    """The caller was sent the stream up to this event id."""
 
     last_id: int
 
 
 @dataclass(frozen=True)
 class TimeOver:
-    """The deadline or the route's timeout has passed."""
+    """The deadline or the route's time-out has passed."""
 
 
 @dataclass(frozen=True)
 class SendTo:
-    """Send the request to a target that has not had it; go on after last_id.
+    """Send the request to a target that has not had it; resume after event last_id.
 
-    returns: to a target that had it and is not at fault: the last one, which has not
-    run it, or the one that a stream left while it was at work.
+    to_previous_target: send it to a target that has had it and is not at fault. This is
+    the last target, which did not run the request, or the one that was abandoned while
+    it was still working.
     """
 
     last_id: int | None
@@ -122,12 +129,12 @@
 
 @dataclass(frozen=True)
 class ForwardAnswer:
-    """Pass the target's answer on as it is."""
+    """Forward the target's answer unchanged."""
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """Answer with an error of this host's own."""
+    """Answer with an error of this host."""
 
     code: ResultCode
     retry_after_seconds: float | None = None
@@ -135,7 +142,7 @@
 
 @dataclass(frozen=True)
 class AbortConnection:
-    """Close the caller's connection in the middle of its answer, visibly."""
+    """Close the connection mid-answer, so that the caller sees it as incomplete."""
 
 
 ExchangeEvent = (
@@ -145,10 +152,10 @@
 
 
 class Exchange:
-    """The life of one forwarded request; hear() takes an event and returns an effect.
+    """State machine of one forwarded request; handle() maps events to effects.
 
-    "Not run" is told only while no send can have run: the caller takes it as a promise
-    and sends again. After that the outcome is unknown, and is said to be.
+    Callers rely on "not run" and send the request again, so it is reported only while
+    no send can have run. After that, the outcome is reported as unknown.
     """
 
     def __init__(self, policy: ExchangePolicy, last_id: int | None = None) -> None:
@@ -157,23 +164,23 @@
         self.sends = 0
         self._possible_runs = 0
         self._resends = 0
-        self._has_abandoned_target = False
-        # Whether a target's own failure, a whole answer, is held during a repeat.
+        self._has_abandoned = False
+        # Whether a complete answer that is a target's failure is held during a retry.
         self.has_held_answer = False
         self.is_started = False
         self.has_ended = False
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether a target may have run any of the request."""
+        """Return whether a target may have run any part of the request."""
         return self._possible_runs > 0
 
     def start(self) -> SendTo:
-        """Return the first send."""
+        """Return the effect that starts the first send."""
         return SendTo(self.last_id, is_retry=False)
 
     def record_sent(self) -> None:
-        """Note that the first byte is about to be written to a target."""
+        """Record that the first byte is about to be written to a target."""
         invariants.check(
             self.policy.may_run_again or not self.may_have_run, "sent_at_most_once"
         )
@@ -182,31 +189,31 @@
         self._possible_runs += 1
 
     def record_not_run(self) -> None:
-        """Note that the target which had the request last has proved not to run it."""
+        """Record that the last target proved that it did not run the request."""
         self._possible_runs -= 1
 
     def may_resend_to_previous_target(self, refusal: SendFailed, now: float) -> bool:
-        """Return whether a refusal leaves a target that had the request to go back to.
+        """Return whether the request may go back to a target that has had it.
 
-        A stream that moved, and is refused where it went, has used up its targets.
-        Symptom: it is broken off, though the one that it came from is at work. One
-        whose target is gone has none to go back to.
+        A stream that abandoned a working target and is refused by the next one may have
+        used up its sends; it would be aborted although the abandoned target still works
+        on it. A stream whose target has failed has no target to go back to.
         """
         is_out_of_sends = self.is_started and not self.can_send_again(now)
-        has_only_abandoned_target = is_out_of_sends and self._has_abandoned_target
+        has_only_abandoned_target = is_out_of_sends and self._has_abandoned
         return refusal.is_helper_fault or has_only_abandoned_target
 
     def record_abandoned(self) -> None:
-        """Note that a target was left while it was at work."""
-        self._has_abandoned_target = True
+        """Record that a target was abandoned while it was still working."""
+        self._has_abandoned = True
 
     def try_resend(self, now: float) -> bool:
         """Return whether the last target may get the request again, and count it.
 
-        Engines that leave while the registry is silent refuse to help, one after the
-        other. Symptom: a long prompt uses up its two sends on refusals within 20 ms and
-        is refused, though the engines that were to answer it are well. The same target
-        again is not one more, so what the route allows still bounds the targets.
+        While the registry is unavailable, draining engines refuse to help one after the
+        other. A long prompt would use up its two sends on such refusals within 20 ms
+        and be refused although its leading engine is healthy. A resend to the same
+        target does not count as a send: the route bounds the number of targets.
         """
         if self._resends >= c.MAX_RESENDS_TO_PREVIOUS_TARGET or self.sends == 0:
             return False
@@ -217,23 +224,21 @@
         return True
 
     def try_abandoned_target(self, now: float) -> bool:
-        """Return whether a stream that was lost goes back to the target that it left.
+        """Return whether a lost stream may go back to the target that it abandoned.
 
-        A stream leaves a target that is at work for another one, which may have
-        crashed and not been found out yet. Symptom: it is broken off, as its targets
-        are used up, though the first one goes on: two of the three streams that were
-        broken off on two days with crashes among 18 engines. The send still counts, so
-        that no third target follows; once, as what is lost there too has nowhere to go.
+        A stream may abandon a working target for one whose crash is not detected yet.
+        With its sends used up it would be aborted although the first target still works
+        on it; this caused two of the three aborts on two simulated days with crashes
+        among 18 engines. The send counts, so no third target follows, and a stream goes
+        back only once.
         """
-        if not (self.is_started and self._has_abandoned_target) or self.can_send_again(
-            now
-        ):
+        if not (self.is_started and self._has_abandoned) or self.can_send_again(now):
             return False
-        self._has_abandoned_target = False
+        self._has_abandoned = False
         return self.policy.deadline - now > c.MIN_SEND_SECONDS
 
-    def cancel_resend(self) -> None:
-        """Note that the last target could not be sent to again, so it counts."""
+    def count_unplaced_resend(self) -> None:
+        """Count a resend that found its previous target unavailable as a send."""
         self.sends += 1
 
     def handle(
@@ -247,7 +252,7 @@
         return effect
 
     def can_send_again(self, now: float) -> bool:
-        """Return whether one more target may get the request."""
+        """Return whether the request may be sent to one more target."""
         if self.may_have_run and not self.policy.may_run_again:
             return False
         has_time = self.policy.deadline - now > c.MIN_SEND_SECONDS
@@ -256,12 +261,12 @@
     def choose_final_effect(
         self, retry_after_seconds: float | None = None
     ) -> ExchangeEffect:
-        """Return the end of a request that nothing more is tried for."""
+        """Return the effect that ends a request for which no further send is made."""
         if self.is_started:
             return AbortConnection()
-        # A target failed the request, and the repeat brought nothing. Symptom: the
-        # caller hears "may have run" and never what the target said. The answer is
-        # whole and its own, so it may be given at any time before the head.
+        # A target answered with a failure and the retry produced no answer. The
+        # target's own answer is complete and tells the caller more than "may have run",
+        # so it is sent as long as the head of another answer was not.
         if self.has_held_answer:
             return ForwardAnswer()
         if self.may_have_run:
@@ -276,7 +281,7 @@
 def _handle(
     event: ExchangeEvent, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
-    raise TypeError(f"not an event: {event!r}")
+    raise TypeError(f"unknown exchange event: {event!r}")
 
 
 @_handle.register
@@ -307,7 +312,7 @@
 def _(
     event: TargetAnswered, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
-    # A whole answer in place of a stream's rest cannot follow what was given of it.
+    # A complete answer cannot follow the part of a stream that the caller already has.
     is_failure = event.is_failure or exchange.is_started
     exchange.has_held_answer = True
     can_retry = is_failure and exchange.policy.may_run_again and has_budget
@@ -349,6 +354,6 @@
     if exchange.may_have_run:
         return Refuse(ResultCode.FORWARD_CRASHED_TARGETS)
     if event.wait_seconds is None:
-        # No time to come back: a repeat would only be refused again.
+        # Without Retry-After: a repeat would only be refused again.
         return Refuse(ResultCode.CRASHES_TARGETS)
     return Refuse(ResultCode.ON_TRIAL, event.wait_seconds)
