--- a/libraries/gateway/tarragonward_gateway/context.py
+++ b/libraries/gateway/tarragonward_gateway/context.py
@@ -19,5 +19,5 @@
     route: Route | None = None
     account: Account | None = None
     service: str = ""
-    limit_at: float = 0.0
+    deadline: float = 0.0
     table: RoutingTable | None = None
--- a/libraries/gateway/tarragonward_gateway/forwarder.py
+++ b/libraries/gateway/tarragonward_gateway/forwarder.py
@@ -16,14 +16,14 @@
 from .context import ForwardContext
 from .headers import parse_count
 from .reservations import ReservationTask
-from .run import ForwardRun
+from .run import ForwardedRequest
 from .state import GatewayState
 from .suspects import SuspectMonitor
 from .targets import TargetChooser
 
 __all__ = ["Forwarder"]
 
-MILLISECONDS = 1_000
+MILLISECONDS_PER_SECOND = 1_000
 
 AnyHead = HttpHead | HttpRequest
 
@@ -59,20 +59,20 @@
     async def async_handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer one request."""
         if self._state.table is None and self._state.is_admitting:
-            request = await self._async_hold(request)
+            request = await self._async_wait_for_table(request)
         context: ForwardContext = request.context
         responder.request_id = request.headers.get(
             self._state.headers.request_id, request.request_id
         )
         if context.refusal is not None:
-            self._note_refused(responder.request_id, request, context.refusal)
+            self._log_refusal(responder.request_id, request, context.refusal)
             await async_send_refusal(
                 responder, context.refusal.code, context.refusal.retry_after_seconds
             )
             return
         self.in_flight += 1
         try:
-            run = ForwardRun(
+            run = ForwardedRequest(
                 self._state,
                 self._chooser,
                 self._reservations,
@@ -84,7 +84,7 @@
         finally:
             self.in_flight -= 1
 
-    async def _async_hold(self, request: HttpRequest) -> HttpRequest:
+    async def _async_wait_for_table(self, request: HttpRequest) -> HttpRequest:
         """Wait for the first table, and check the request by it.
 
         Where all hosts lose power at once, callers come to hosts that are starting. A
@@ -92,16 +92,18 @@
         tenths of a second.
         """
         state, received_at = self._state, request.context.received_at
-        left = state.started_at + c.STARTUP_SECONDS - read_clock()
+        seconds_left = state.started_at + c.STARTUP_SECONDS - read_clock()
         limit = parse_count(request.headers.get(state.headers.deadline_ms, ""))
         if limit is not None:
-            left = min(left, c.START_HOLD_SHARE * limit / MILLISECONDS)
+            seconds_left = min(
+                seconds_left, c.START_HOLD_SHARE * limit / MILLISECONDS_PER_SECOND
+            )
         with suppress(TimeoutError):
-            async with asyncio.timeout(min(left, c.START_HOLD_SECONDS)):
+            async with asyncio.timeout(min(seconds_left, c.START_HOLD_SECONDS)):
                 await state.has_table.wait()
         return replace(request, context=self._check(request, received_at))
 
-    def _note_refused(
+    def _log_refusal(
         self, request_id: str, request: HttpRequest, refusal: RequestRefusedError
     ) -> None:
         state = self._state
@@ -151,7 +153,7 @@
         limit = parse_count(head.headers.get(self._state.headers.deadline_ms, ""))
         if limit is None:
             return route.timeout_seconds
-        return min(limit / MILLISECONDS, route.timeout_seconds)
+        return min(limit / MILLISECONDS_PER_SECOND, route.timeout_seconds)
 
     def _build_denial(self, code: ResultCode) -> RequestRefusedError:
         # A host that has not heard of the newest table takes a new route or key for
--- a/libraries/gateway/tarragonward_gateway/headers.py
+++ b/libraries/gateway/tarragonward_gateway/headers.py
@@ -35,7 +35,7 @@
 
 
 # A caller that lists these as its connection's own would change what is run.
-NEVER_LISTED = frozenset({b"host", CONTENT_LENGTH})
+NEVER_HOP_BY_HOP = frozenset({b"host", CONTENT_LENGTH})
 
 
 def build_target_headers(
@@ -45,8 +45,8 @@
 
     A caller's own value of what the host sets, or of a stripped name, never goes on.
     """
-    ours = {name.encode("ascii") for name in (*set_by_host, *stripped)}
-    kept = _drop(headers, ours)
+    removed = {name.encode("ascii") for name in (*set_by_host, *stripped)}
+    kept = _remove_hop_by_hop(headers, removed)
     added = (
         (name.encode("ascii"), value.encode("latin-1"))
         for name, value in set_by_host.items()
@@ -56,7 +56,7 @@
 
 def build_answer_headers(headers: RawHeaders, has_body: bool = True) -> RawHeaders:
     """Return a target's headers for the caller; a body is framed anew."""
-    return tuple(_drop(headers, {CONTENT_LENGTH} if has_body else set()))
+    return tuple(_remove_hop_by_hop(headers, {CONTENT_LENGTH} if has_body else set()))
 
 
 def parse_count(text: str) -> int | None:
@@ -74,12 +74,14 @@
     return rate if 0.0 <= rate <= MAX_RATE else None
 
 
-def _drop(headers: RawHeaders, names: set[bytes]) -> list[tuple[bytes, bytes]]:
-    dropped = HOP_BY_HOP | names | (_get_listed(headers) - NEVER_LISTED)
+def _remove_hop_by_hop(
+    headers: RawHeaders, names: set[bytes]
+) -> list[tuple[bytes, bytes]]:
+    dropped = HOP_BY_HOP | names | (_get_connection_options(headers) - NEVER_HOP_BY_HOP)
     return [pair for pair in headers if pair[0].lower() not in dropped]
 
 
-def _get_listed(headers: RawHeaders) -> set[bytes]:
+def _get_connection_options(headers: RawHeaders) -> set[bytes]:
     return {
         name.strip().lower()
         for key, value in headers
--- a/libraries/gateway/tarragonward_gateway/heads.py
+++ b/libraries/gateway/tarragonward_gateway/heads.py
@@ -8,11 +8,11 @@
 
 from .ports import HeaderNames
 
-__all__ = ["HeadCheck", "SpoiledAnswerError"]
+__all__ = ["AnswerHeadCheck", "SpoiledAnswerError"]
 
-STATUS_CALLER_FAILURES = 400
+STATUS_CLIENT_ERROR = 400
 STATUS_MISDIRECTED = 421
-PROMISING_STATUSES = (408, 429, 503)
+NOT_RUN_STATUSES = (408, 429, 503)
 CONTENT_ENCODING = "content-encoding"
 
 
@@ -20,20 +20,20 @@
     """Report an answer that is not the whole answer to this request."""
 
 
-class HeadCheck:
+class AnswerHeadCheck:
     """What the heads of answers to one request say."""
 
     def __init__(self, names: HeaderNames, request_id: str) -> None:
         self._names = names
         self._request_id = request_id
 
-    def is_elsewhere(self, target: RegisteredTarget, stream: HttpStream) -> bool:
+    def is_misdirected(self, target: RegisteredTarget, stream: HttpStream) -> bool:
         """Return whether the target itself refuses as another one than was meant."""
         # The address of a target that crashed is used by another one, while its own
         # record stands until it lapses. Symptom: being idle it is chosen first by each
         # request, refuses all, and their sends are used up. It rests like one that
         # takes no connection; a helper at fault is named, and is not this target.
-        at_fault = stream.headers.get(self._names.at_target)
+        at_fault = stream.headers.get(self._names.failed_target)
         is_own = at_fault is None or at_fault == str(target.address)
         return stream.status == STATUS_MISDIRECTED and is_own
 
@@ -43,7 +43,7 @@
         answered_id = stream.headers.get(names.request_id, self._request_id)
         if answered_id != self._request_id:
             raise SpoiledAnswerError("the answer is to another request")
-        is_failure = stream.status >= STATUS_CALLER_FAILURES
+        is_failure = stream.status >= STATUS_CLIENT_ERROR
         return stream.status == STATUS_MISDIRECTED or (
             is_failure and names.not_run in stream.headers
         )
@@ -55,9 +55,9 @@
             raise SpoiledAnswerError("the answer does not say to which request")
         # The caller reads these as "not run and never will be". A target that does not
         # say so itself may have run the request, and the caller would send it again.
-        if stream.status in PROMISING_STATUSES:
+        if stream.status in NOT_RUN_STATUSES:
             raise SpoiledAnswerError("the answer promises what it does not say")
-        if stream.status < STATUS_CALLER_FAILURES and names.seal not in stream.headers:
+        if stream.status < STATUS_CLIENT_ERROR and names.seal not in stream.headers:
             raise SpoiledAnswerError("the answer has no seal")
         if CONTENT_ENCODING in stream.headers:
             raise SpoiledAnswerError("the body is encoded")
--- a/libraries/gateway/tarragonward_gateway/observer.py
+++ b/libraries/gateway/tarragonward_gateway/observer.py
@@ -53,23 +53,23 @@
         self._request_id = request_id
         self._prompt_tokens = _read_prompt_tokens(tokens)
         self._loop = asyncio.get_running_loop()
-        self._trail: list[Happening] = []
-        self._unwritten = 0
+        self._events: list[Happening] = []
+        self._dropped_events = 0
         self._sends = 0
         self._target: RegisteredTarget | None = None
         self._outcome = ""
         self._status: int | None = None
-        self._first_at: float | None = None
+        self._first_event_at: float | None = None
         self._predicted_at: float | None = None
-        self._event_at = 0.0
-        self._pause = 0.0
+        self._last_event_at = 0.0
+        self._longest_pause_seconds = 0.0
         self._readers = 0
-        self._held_up = 0.0
+        self._prefill_ahead_seconds = 0.0
         self._faults: list[str] = []
         self._last_id: int | None = None
-        self._note_taken()
+        self._record_received()
 
-    def note_choice(
+    def record_choice(
         self,
         target: RegisteredTarget | None,
         predicted_at: float | None = None,
@@ -82,14 +82,14 @@
         is how many engines read the prompt.
         """
         self._readers = readers
-        if self._first_at is None:
+        if self._first_event_at is None:
             self._predicted_at = predicted_at
         registry = self._state.registry
         self._target = target
         if target is not None:
             self._sends += 1
             inputs = {"target": target.id, "address": target.address, **inputs}
-        self._note(
+        self._record(
             "target_chosen" if target else "no_target",
             service=self._context.service,
             **inputs,
@@ -98,41 +98,43 @@
             registry_age=self._get_confirmed_age(),
         )
 
-    def note_failure(self, event: str, **fields: Any) -> None:
+    def record_failure(self, event: str, **fields: Any) -> None:
         """Note why the last send brought nothing that may be passed on."""
         target = self._target.id if self._target else None
-        self._note(event, target=target, **fields)
+        self._record(event, target=target, **fields)
 
-    def note_reading(self, seconds: float) -> None:
+    def record_prefill_ahead(self, seconds: float) -> None:
         """Note that the target is known to read for so long, beside this request."""
-        self._held_up = max(self._held_up, seconds)
+        self._prefill_ahead_seconds = max(self._prefill_ahead_seconds, seconds)
 
-    def note_status(self, status: int) -> None:
+    def record_status(self, status: int) -> None:
         """Note the status of the answer that goes to the caller."""
         self._status = status
 
-    def note_decision(
+    def record_decision(
         self, event: ExchangeEvent, effect: ExchangeEffect | None, now: float
     ) -> None:
         """Note what an event of the exchange led to."""
         if isinstance(event, SendFailed):
             self._faults.append(event.fault.value)
         if isinstance(event, EventsGiven):
-            self._note_events(event, now)
+            self._record_stream_events(event, now)
         elif isinstance(event, AnswerStarted):
             target = self._target.id if self._target else None
-            self._note("answer_started", target=target)
+            self._record("answer_started", target=target)
         if isinstance(effect, SendTo):
-            reason = _describe(event)
-            resumes = effect.last_id is not None and self._first_at is not None
+            reason = _describe_event(event)
+            resumes = effect.last_id is not None and self._first_event_at is not None
             name = "request_resumed" if resumes else "request_repeated"
             self._state.metrics.count(name, reason)
-            self._note(name, reason=reason, after_event=effect.last_id)
+            self._record(name, reason=reason, after_event=effect.last_id)
         elif effect is not None:
-            self._outcome = _describe_end(effect)
-            self._note("end_decided", outcome=self._outcome, reason=_describe(event))
+            self._outcome = _describe_outcome(effect)
+            self._record(
+                "end_decided", outcome=self._outcome, reason=_describe_event(event)
+            )
 
-    def end(self, error: BaseException | None = None) -> None:
+    def finish(self, error: BaseException | None = None) -> None:
         """Count the request, and write its trail where it did not go well."""
         now = self._loop.time()
         outcome = self._outcome or OUTCOME_ANSWERED
@@ -143,42 +145,44 @@
         self._count(outcome, now)
         if outcome == OUTCOME_ANSWERED and self._sends == 1 and not self._is_late(now):
             return
-        self._note_ended(outcome, now, error)
+        self._record_ended(outcome, now, error)
         # How it ended is written beyond the budget of ordinary lines: a busy second
         # would otherwise hide the requests that were lost in it.
-        if not event_log.log(self._trail):
-            event_log.log(self._trail[-1:], is_urgent=True)
+        if not event_log.log(self._events):
+            event_log.log(self._events[-1:], is_urgent=True)
 
-    def _note_taken(self) -> None:
+    def _record_received(self) -> None:
         context = self._context
         assert context.route is not None
-        self._note(
+        self._record(
             "request_taken",
             at=context.received_at,
             route=context.route.name,
             account=context.account.name if context.account else None,
             prompt_tokens=self._prompt_tokens or None,
-            limit=context.limit_at - context.received_at,
+            limit=context.deadline - context.received_at,
             table=context.table.version if context.table else None,
             table_age=self._get_confirmed_age(),
         )
 
-    def _note_events(self, event: EventsGiven, now: float) -> None:
-        if self._first_at is None:
-            self._first_at = now
+    def _record_stream_events(self, event: EventsGiven, now: float) -> None:
+        if self._first_event_at is None:
+            self._first_event_at = now
         else:
-            self._pause = max(self._pause, now - self._event_at)
-        self._event_at = now
+            self._longest_pause_seconds = max(
+                self._longest_pause_seconds, now - self._last_event_at
+            )
+        self._last_event_at = now
         self._last_id = event.last_id
 
-    def _note_ended(
+    def _record_ended(
         self, outcome: str, now: float, error: BaseException | None
     ) -> None:
-        first, predicted = self._first_at, self._predicted_at
+        first, predicted = self._first_event_at, self._predicted_at
         received_at = self._context.received_at
         has_failed = error is not None and not isinstance(error, asyncio.CancelledError)
-        unwritten, self._unwritten = self._unwritten, 0
-        self._add(
+        unwritten, self._dropped_events = self._dropped_events, 0
+        self._append(
             now,
             "request_ended",
             outcome=outcome,
@@ -188,14 +192,14 @@
             seconds=now - received_at,
             first_event=None if first is None else first - received_at,
             predicted=None if predicted is None else predicted - received_at,
-            worst_pause=self._pause or None,
+            worst_pause=self._longest_pause_seconds or None,
             last_event=self._last_id,
             aim=self._context.route.aim_seconds if self._context.route else None,
             pause_aim=self._get_pause_aim(),
             prompt_tokens=self._prompt_tokens or None,
             target=self._target.id if self._target else None,
             readers=self._readers or None,
-            held_up=self._held_up or None,
+            held_up=self._prefill_ahead_seconds or None,
             faults=",".join(self._faults) or None,
             unwritten=unwritten or None,
         )
@@ -207,10 +211,13 @@
     def _is_late(self, now: float) -> bool:
         route = self._context.route
         assert route is not None
-        first_at = now if self._first_at is None else self._first_at
+        first_at = now if self._first_event_at is None else self._first_event_at
         aim = route.aim_seconds
         pause_aim = self._get_pause_aim() or float("inf")
-        return first_at - self._context.received_at > aim or self._pause > pause_aim
+        return (
+            first_at - self._context.received_at > aim
+            or self._longest_pause_seconds > pause_aim
+        )
 
     def _count(self, outcome: str, now: float) -> None:
         metrics, context = self._state.metrics, self._context
@@ -221,33 +228,35 @@
             metrics.count("sends", by=self._sends)
         if outcome != OUTCOME_ANSWERED:
             return
-        started_at = now if self._first_at is None else self._first_at
+        started_at = now if self._first_event_at is None else self._first_event_at
         taken = started_at - context.received_at
         metrics.observe("time_to_first_event", taken, account, length)
-        if self._first_at is not None and self._predicted_at is not None:
-            error = self._first_at - self._predicted_at
+        if self._first_event_at is not None and self._predicted_at is not None:
+            error = self._first_event_at - self._predicted_at
             metrics.observe("prediction_error", abs(error), length_class=length)
             metrics.count("predictions", EARLY if error < 0 else LATE)
-        if self._pause:
-            metrics.observe("worst_pause", self._pause, length_class=length)
+        if self._longest_pause_seconds:
+            metrics.observe(
+                "worst_pause", self._longest_pause_seconds, length_class=length
+            )
 
     def _get_confirmed_age(self) -> float | None:
         age = read_clock() - self._state.table_confirmed_at
         return age if age < float("inf") else None
 
-    def _note(self, event: str, *, at: float | None = None, **fields: Any) -> None:
-        if len(self._trail) >= c.MAX_EVENTS_PER_REQUEST:
-            self._unwritten += 1
+    def _record(self, event: str, *, at: float | None = None, **fields: Any) -> None:
+        if len(self._events) >= c.MAX_EVENTS_PER_REQUEST:
+            self._dropped_events += 1
             return
-        self._add(self._loop.time() if at is None else at, event, **fields)
+        self._append(self._loop.time() if at is None else at, event, **fields)
 
-    def _add(self, at: float, event: str, **fields: Any) -> None:
+    def _append(self, at: float, event: str, **fields: Any) -> None:
         known = {key: value for key, value in fields.items() if value is not None}
         pairs = {"request_id": self._request_id, **known}
-        self._trail.append(Happening(at, event, pairs))
+        self._events.append(Happening(at, event, pairs))
 
 
-def _describe(event: ExchangeEvent) -> str:
+def _describe_event(event: ExchangeEvent) -> str:
     if isinstance(event, SendFailed):
         return event.fault.value
     if isinstance(event, Blamed):
@@ -257,7 +266,7 @@
     return "time over" if isinstance(event, TimeOver) else type(event).__name__
 
 
-def _describe_end(effect: ExchangeEffect) -> str:
+def _describe_outcome(effect: ExchangeEffect) -> str:
     if isinstance(effect, Refuse):
         return effect.code.name
     return (
--- a/libraries/gateway/tarragonward_gateway/ports.py
+++ b/libraries/gateway/tarragonward_gateway/ports.py
@@ -41,7 +41,7 @@
     priority: str = "x-priority"
     token_counts: str = "x-tokens"
     helpers: str = "x-helper-engines"
-    at_target: str = "x-failed-target"
+    failed_target: str = "x-failed-target"
 
 
 @dataclass(frozen=True)
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -45,7 +45,7 @@
 from .answers import async_send_refusal
 from .context import ForwardContext
 from .headers import build_answer_headers, build_target_headers, parse_count
-from .heads import HeadCheck, SpoiledAnswerError
+from .heads import AnswerHeadCheck, SpoiledAnswerError
 from .idle_timeout import IdleTimeout, StreamMovedError, TargetSilentError
 from .moving import StreamMover
 from .observer import RequestObserver
@@ -55,19 +55,19 @@
 from .suspects import RequestIdentity, SuspectMonitor
 from .targets import SendChoice, TargetChooser
 
-__all__ = ["ForwardRun"]
+__all__ = ["ForwardedRequest"]
 
-UNREACHABLE_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
-MILLISECONDS = 1_000
+LINK_TIMEOUT_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH)
+MILLISECONDS_PER_SECOND = 1_000
 STATUS_OK = 200
-STATUS_FAILURES = 500
+STATUS_SERVER_ERROR = 500
 BODILESS_STATUSES = (204, 304)
 METHOD_HEAD = "HEAD"
 CONTENT_TYPE = "content-type"
 EVENT_STREAM = "text/event-stream"
 
 
-class ForwardRun:
+class ForwardedRequest:
     """One request: its sends, one after the other, and its one answer."""
 
     def __init__(
@@ -95,7 +95,7 @@
                 may_run_again=self._route.may_run_again,
                 is_stream=self._route.kind is RequestKind.STREAM,
                 attempts=self._route.attempts,
-                deadline=context.limit_at,
+                deadline=context.deadline,
             ),
             last_id=self._read_last_id(),
         )
@@ -112,14 +112,14 @@
             reservations,
             self._exchange,
             context,
-            _parse_counts(request.headers.get(state.headers.token_counts, "")),
+            _parse_token_counts(request.headers.get(state.headers.token_counts, "")),
         )
-        self._head = HeadCheck(state.headers, self._request_id)
+        self._head_check = AnswerHeadCheck(state.headers, self._request_id)
         self._mover = StreamMover(
             state, chooser, self._exchange, self._placer.build_need
         )
-        self._repeat_at: float | None = None
-        self._watch: IdleTimeout | None = None
+        self._repeat_counted_at: float | None = None
+        self._idle_timeout: IdleTimeout | None = None
         self._answer: tuple[int, tuple[tuple[bytes, bytes], ...], bytes] | None = None
         state.record_request(context.service)
 
@@ -128,20 +128,20 @@
         try:
             await self._async_run()
         except BaseException as err:
-            self._observer.end(err)
+            self._observer.finish(err)
             raise
-        self._observer.end()
+        self._observer.finish()
 
     async def _async_run(self) -> None:
-        effect = self._judge() or self._exchange.start()
+        effect = self._check_suspect() or self._exchange.start()
         try:
-            async with asyncio.timeout_at(self._context.limit_at):
+            async with asyncio.timeout_at(self._context.deadline):
                 while isinstance(effect, SendTo):
                     effect = await self._async_send(effect)
         except TimeoutError:
             if self._exchange.has_ended:
                 raise
-            effect = self._hear(TimeOver())
+            effect = self._handle_event(TimeOver())
         self._mover.cancel_move()
         await self._async_end(effect)
 
@@ -149,7 +149,7 @@
         headers = self._request.headers
         return parse_count(headers.get(self._state.headers.last_event_id, ""))
 
-    def _hear(self, event: ExchangeEvent) -> ExchangeEffect | None:
+    def _handle_event(self, event: ExchangeEvent) -> ExchangeEffect | None:
         now = self._loop.time()
         service, is_started = self._context.service, self._exchange.is_started
         is_sends_end = isinstance(event, (SendFailed, TargetAnswered))
@@ -159,52 +159,54 @@
         )
         effect = self._exchange.handle(event, now, has_budget=can_retry)
         if isinstance(effect, SendTo) and effect.is_retry:
-            self._repeat_at = (
+            self._repeat_counted_at = (
                 self._mover.retry_at
                 if self._mover.is_moving
                 else self._state.record_repeat(service)
             )
         if is_sends_end:
             self._mover.is_moving = False
-        self._observer.note_decision(event, effect, now)
+        self._observer.record_decision(event, effect, now)
         return effect
 
     async def _async_end(self, effect: ExchangeEffect | None) -> None:
         if isinstance(effect, ForwardAnswer):
             assert self._answer is not None
             status, headers, body = self._answer
-            self._observer.note_status(status)
+            self._observer.record_status(status)
             await self._responder.async_send_bytes(status, body, headers)
         elif isinstance(effect, Refuse):
-            self._observer.note_status(effect.code.http_status)
+            self._observer.record_status(effect.code.http_status)
             await async_send_refusal(
                 self._responder, effect.code, effect.retry_after_seconds
             )
         elif isinstance(effect, AbortConnection):
             raise ConnectionAbortedError("the answer ends early")
 
-    def _judge(self) -> ExchangeEffect | None:
+    def _check_suspect(self) -> ExchangeEffect | None:
         """Return the end of a request that may crash one more target, else None."""
         verdict = self._suspects.judge(self._identity)
         self._placer.is_suspect = verdict is Verdict.ALONE
         if verdict is Verdict.REFUSED:
             self._suspects.note_refused(self._identity)
-            return self._hear(Blamed())
+            return self._handle_event(Blamed())
         if verdict is Verdict.LATER:
-            return self._hear(Blamed(self._suspects.get_wait_seconds(self._identity)))
+            return self._handle_event(
+                Blamed(self._suspects.get_wait_seconds(self._identity))
+            )
         return None
 
     async def _async_send(self, effect: SendTo) -> ExchangeEffect | None:
         placed = await self._placer.async_place(effect.to_previous_target)
         if placed is None:
-            self._observer.note_choice(None, tried=len(self._placer.tried))
-            self._return_repeat()
+            self._observer.record_choice(None, tried=len(self._placer.tried))
+            self._refund_repeat()
             wait = self._chooser.compute_wait(self._placer.build_need())
-            return self._hear(SendFailed(SendFault.NO_TARGET, wait))
+            return self._handle_event(SendFailed(SendFault.NO_TARGET, wait))
         choice, lease = placed
         target = choice.target
         readers = len(choice.helpers) + 1 if choice.plan is not None else 0
-        self._observer.note_choice(
+        self._observer.record_choice(
             target, choice.predicted_at, readers, tried=len(self._placer.tried)
         )
         self._placer.record_chosen(target)
@@ -219,56 +221,62 @@
                 event = await self._async_attempt(choice, effect)
         except NotConnectedError as err:
             event = SendFailed(SendFault.NOT_CONNECTED)
-            self._return_repeat()
+            self._refund_repeat()
             self._chooser.cancel_send(target)
-            self._log_failed(target, event, err)
+            self._log_send_failure(target, event, err)
         except StreamMovedError as err:
             self._placer.abandoned = target.id
             if not self._exchange.is_started:
                 self._chooser.probes.check_in_background(target)
             event = SendFailed(SendFault.MOVED)
-            self._log_failed(target, event, err)
+            self._log_send_failure(target, event, err)
         except TargetSilentError as err:
             self._placer.abandoned = target.id
             event = SendFailed(SendFault.SILENT)
-            self._log_failed(target, event, err)
+            self._log_send_failure(target, event, err)
         except SpoiledAnswerError as err:
             event = SendFailed(SendFault.SPOILED)
-            self._log_failed(target, event, err)
+            self._log_send_failure(target, event, err)
         except ConnectionLostError as err:
             event = SendFailed(SendFault.LOST)
-            self._log_failed(target, event, err)
-            if not _was_unreachable(err):
+            self._log_send_failure(target, event, err)
+            if not _is_link_timeout(err):
                 await self._suspects.async_record_lost(self._identity, target)
         if isinstance(event, SendFailed):
             self._chooser.probes.record_failure(target, event.fault)
             is_lost = event.fault is SendFault.LOST
-            return (self._judge() if is_lost else None) or self._hear(event)
-        return self._hear(event) if event is not None else None
+            return (self._check_suspect() if is_lost else None) or self._handle_event(
+                event
+            )
+        return self._handle_event(event) if event is not None else None
 
-    def _return_repeat(self) -> None:
+    def _refund_repeat(self) -> None:
         """Give the budget back what a repeat that was never sent took of it."""
-        if self._repeat_at is not None:
-            self._state.budget.refund_retry(self._context.service, self._repeat_at)
-            self._repeat_at = None
+        if self._repeat_counted_at is not None:
+            self._state.budget.refund_retry(
+                self._context.service, self._repeat_counted_at
+            )
+            self._repeat_counted_at = None
 
-    def _note_head(self, target: RegisteredTarget, stream: HttpStream) -> None:
+    def _record_head_evidence(
+        self, target: RegisteredTarget, stream: HttpStream
+    ) -> None:
         # A head alone is no answer: a sick target may spoil what comes after it.
         # Symptom, were it taken as one: its faults are never two in a row.
         evidence = Evidence.CONNECTED
-        if self._head.is_elsewhere(target, stream):
+        if self._head_check.is_misdirected(target, stream):
             evidence = Evidence.REPLACED
-        elif self._head.is_refusal(stream):
+        elif self._head_check.is_refusal(stream):
             evidence = Evidence.ANSWERED
-        elif stream.status >= STATUS_FAILURES:
+        elif stream.status >= STATUS_SERVER_ERROR:
             evidence = Evidence.FAILED
         self._chooser.probes.record(target, evidence)
 
-    def _log_failed(
+    def _log_send_failure(
         self, target: RegisteredTarget, event: SendFailed, err: Exception
     ) -> None:
         is_lost = event.fault is SendFault.LOST
-        self._observer.note_failure(
+        self._observer.record_failure(
             "send_failed",
             fault=event.fault.value,
             error=str(err),
@@ -279,28 +287,32 @@
         self, choice: SendChoice, effect: SendTo
     ) -> ExchangeEvent | None:
         target = choice.target
-        left = self._context.limit_at - self._loop.time()
+        seconds_left = self._context.deadline - self._loop.time()
         async with AsyncExitStack() as stack:
             if choice.plan is not None and self._exchange.policy.may_run_again:
-                self._watch = self._build_watch(choice.plan)
-                await stack.enter_async_context(self._watch)
-                note_reading = partial(self._note_reading, choice, self._watch)
-                stack.enter_context(self._chooser.watch_prefills(choice, note_reading))
+                self._idle_timeout = self._build_idle_timeout(choice.plan)
+                await stack.enter_async_context(self._idle_timeout)
+                handle_prefill = partial(
+                    self._handle_prefill, choice, self._idle_timeout
+                )
+                stack.enter_context(
+                    self._chooser.watch_prefills(choice, handle_prefill)
+                )
             stream = await stack.enter_async_context(
                 async_open_http(
                     target.address,
                     self._request.method,
                     self._request.target,
-                    headers=self._build_headers(choice, effect, left),
+                    headers=self._build_headers(choice, effect, seconds_left),
                     body=self._request.body,
-                    connect_timeout=min(c.CONNECT_TIMEOUT_SECONDS, left),
+                    connect_timeout=min(c.CONNECT_TIMEOUT_SECONDS, seconds_left),
                     before_write=self._exchange.record_sent,
                     unreachable_timeout=c.TARGET_UNREACHABLE_SECONDS,
                 )
             )
-            return await self._async_take_answer(choice, stream)
+            return await self._async_receive_answer(choice, stream)
 
-    def _build_watch(self, plan: PrefillPlan) -> IdleTimeout:
+    def _build_idle_timeout(self, plan: PrefillPlan) -> IdleTimeout:
         aim = max(self._route.aim_seconds, c.SILENCE_MIN_FIRST_SECONDS)
         pause = c.SILENCE_PAUSE_FACTOR * self._route.pause_aim_seconds
 
@@ -312,10 +324,11 @@
             if self._exchange.is_started:
                 return False
             now = self._loop.time()
-            left = self._context.limit_at - now
+            seconds_left = self._context.deadline - now
             may_send = (
                 self._exchange.can_send_again(now)
-                and left > plan.first_event_seconds + c.SILENCE_MIN_REMAINING_SECONDS
+                and seconds_left
+                > plan.first_event_seconds + c.SILENCE_MIN_REMAINING_SECONDS
                 and self._state.can_retry(
                     self._context.service, is_urgent=self._exchange.is_started
                 )
@@ -333,55 +346,55 @@
             self._mover.try_move_overdue,
         )
 
-    def _note_reading(
+    def _handle_prefill(
         self, choice: SendChoice, watch: IdleTimeout, work: EngineUsage
     ) -> None:
-        self._observer.note_reading(work.prefill_seconds)
+        self._observer.record_prefill_ahead(work.prefill_seconds)
         self._mover.consider_move(choice, watch, work)
 
     def _build_headers(
-        self, choice: SendChoice, effect: SendTo, left: float
+        self, choice: SendChoice, effect: SendTo, seconds_left: float
     ) -> tuple[tuple[bytes, bytes], ...]:
         names = self._state.headers
-        ours = {
-            names.deadline_ms: str(max(1, int(left * MILLISECONDS))),
+        set_by_host = {
+            names.deadline_ms: str(max(1, int(seconds_left * MILLISECONDS_PER_SECOND))),
             names.expected_target: choice.target.name,
         }
         if self._context.account is not None:
-            ours[names.account] = self._context.account.name
+            set_by_host[names.account] = self._context.account.name
         if choice.helpers:
-            ours[names.helpers] = choice.helpers_header
+            set_by_host[names.helpers] = choice.helpers_header
         if effect.last_id is not None:
-            ours[names.last_event_id] = str(effect.last_id)
+            set_by_host[names.last_event_id] = str(effect.last_id)
         stripped = (names.caller_key, names.account, names.priority, names.helpers)
-        return build_target_headers(self._request.raw_headers, ours, stripped)
+        return build_target_headers(self._request.raw_headers, set_by_host, stripped)
 
-    async def _async_take_answer(
+    async def _async_receive_answer(
         self, choice: SendChoice, stream: HttpStream
     ) -> ExchangeEvent | None:
         names = self._state.headers
-        self._note_head(choice.target, stream)
+        self._record_head_evidence(choice.target, stream)
         self._chooser.record_load(choice.target, stream.headers.get(names.load))
         limit = stream.headers.get(names.limit)
-        is_refusal = self._head.is_refusal(stream)
+        is_refusal = self._head_check.is_refusal(stream)
         # A refusal may leave the limit out, or come from another boot at the address.
         if limit is not None or not is_refusal:
             self._chooser.record_limit(choice.target, limit)
         if is_refusal:
-            at_fault = stream.headers.get(names.at_target)
+            at_fault = stream.headers.get(names.failed_target)
             is_helpers_fault = at_fault is not None and (
                 self._chooser.probes.record_reported_fault(choice.helpers, at_fault)
             )
-            self._observer.note_failure(
+            self._observer.record_failure(
                 "send_refused",
                 status=stream.status,
                 at_target=at_fault,
             )
             return SendFailed(SendFault.NOT_RUN, is_helper_fault=is_helpers_fault)
-        self._head.check(stream)
+        self._head_check.check(stream)
         is_stream = stream.headers.get(CONTENT_TYPE, "").startswith(EVENT_STREAM)
         if is_stream and stream.status == STATUS_OK:
-            return await self._async_pass_events(choice, stream)
+            return await self._async_forward_stream(choice, stream)
         try:
             body = await stream.async_read_body(c.MAX_ANSWER_BYTES)
         except ConnectionLostError:
@@ -393,12 +406,12 @@
         )
         headers = build_answer_headers(stream.raw_headers, has_body)
         self._answer = (stream.status, headers, body)
-        if stream.status < STATUS_FAILURES:
+        if stream.status < STATUS_SERVER_ERROR:
             self._chooser.probes.record(choice.target, Evidence.ANSWERED)
             self._suspects.note_answered(self._identity)
-        return TargetAnswered(is_failure=stream.status >= STATUS_FAILURES)
+        return TargetAnswered(is_failure=stream.status >= STATUS_SERVER_ERROR)
 
-    async def _async_pass_events(
+    async def _async_forward_stream(
         self, choice: SendChoice, stream: HttpStream
     ) -> ExchangeEvent | None:
         splitter = EventStreamSplitter()
@@ -408,14 +421,14 @@
             except ValueError as err:
                 raise SpoiledAnswerError(str(err)) from None
             if events:
-                self._note_events(choice, len(events))
-                if self._watch is not None:
-                    self._watch.pause()
-                await self._async_give_events(stream, events)
+                self._record_events(choice, len(events))
+                if self._idle_timeout is not None:
+                    self._idle_timeout.pause()
+                await self._async_forward_events(stream, events)
                 # While the caller does not read, the engine's pace is not seen.
                 choice.reading_since = self._loop.time()
-                if self._watch is not None:
-                    self._watch.resume()
+                if self._idle_timeout is not None:
+                    self._idle_timeout.resume()
         if splitter.has_partial_event:
             raise SpoiledAnswerError("the stream ended within an event")
         if not self._exchange.is_started:
@@ -428,16 +441,16 @@
         self._exchange.has_ended = True
         return None
 
-    def _note_events(self, choice: SendChoice, events: int) -> None:
+    def _record_events(self, choice: SendChoice, events: int) -> None:
         if not choice.has_events:
             choice.has_events = True
             self._chooser.probes.record(choice.target, Evidence.ANSWERED)
         self._chooser.note_events(choice, events)
 
-    async def _async_give_events(
+    async def _async_forward_events(
         self, stream: HttpStream, events: list[StreamEvent]
     ) -> None:
-        given = []
+        forwarded = []
         has_gap = False
         for event in events:
             last_id = self._exchange.last_id
@@ -447,28 +460,28 @@
                 has_gap = event.event_id != last_id + 1
                 if has_gap:
                     break
-            given.append(event.data)
+            forwarded.append(event.data)
             if event.event_id is not None:
-                self._hear(EventsGiven(event.event_id))
-        if given and not self._exchange.is_started:
+                self._handle_event(EventsGiven(event.event_id))
+        if forwarded and not self._exchange.is_started:
             self._start_answer(stream)
         # What was noted as given goes out before the stream goes on elsewhere after it.
-        await self._responder.async_send_chunk(b"".join(given))
+        await self._responder.async_send_chunk(b"".join(forwarded))
         if has_gap:
             raise SpoiledAnswerError("an event is missing")
 
     def _start_answer(self, stream: HttpStream) -> None:
-        self._hear(AnswerStarted())
+        self._handle_event(AnswerStarted())
         self._responder.start(stream.status, build_answer_headers(stream.raw_headers))
 
 
-def _was_unreachable(error: ConnectionLostError) -> bool:
+def _is_link_timeout(error: ConnectionLostError) -> bool:
     """Return whether the connection ended by the silence of its link."""
     cause = error.__cause__
-    return isinstance(cause, OSError) and cause.errno in UNREACHABLE_ERRORS
+    return isinstance(cause, OSError) and cause.errno in LINK_TIMEOUT_ERRORS
 
 
-def _parse_counts(text: str) -> tuple[int, int] | None:
+def _parse_token_counts(text: str) -> tuple[int, int] | None:
     """Return the prompt's and the most output tokens, None where they aren't told."""
     first, _, second = text.partition(",")
     prompt, output = parse_count(first), parse_count(second)
