--- a/libraries/gateway/tarragonward_gateway/cell_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/cell_gossip.py
@@ -61,7 +61,7 @@
             if not remote:
                 continue
             self._is_sending_summary = True
-            self._peers.tell_some(SECTION, [self._state.random.choice(remote)])
+            self._peers.send_section_to(SECTION, [self._state.random.choice(remote)])
             self._is_sending_summary = False
             self._resend_long_prefill(remote)
 
@@ -72,7 +72,7 @@
             self._send_prefill(remote, now)
 
     def _handle_prompt_change(self, is_long: bool) -> None:
-        self._peers.tell_now()
+        self._peers.send_now()
         if is_long:
             self._send_prefill(self._list_remote_hosts(), read_clock())
 
@@ -83,7 +83,9 @@
         if self._credit <= 0 or not remote:
             return
         self._sent_at = now
-        self._credit -= len(remote) * self._peers.tell_some(PROMPTS_SECTION, remote)
+        self._credit -= len(remote) * self._peers.send_section_to(
+            PROMPTS_SECTION, remote
+        )
 
     def _list_remote_hosts(self) -> list[Address]:
         """Return the hosts that are sent no other gossip about prompts."""
--- a/libraries/gateway/tarragonward_gateway/limit_task.py
+++ b/libraries/gateway/tarragonward_gateway/limit_task.py
@@ -67,7 +67,7 @@
         self._timer = None
         for numbers in self._gossip.take_pending():
             self._outgoing = numbers
-            self._peers.tell_all(SECTION)
+            self._peers.send_section_to_all(SECTION)
         self._outgoing = []
 
     def _build(self) -> list[Any] | None:
--- a/libraries/gateway/tarragonward_gateway/peers.py
+++ b/libraries/gateway/tarragonward_gateway/peers.py
@@ -39,8 +39,8 @@
 
 __all__ = ["Peers"]
 
-Build = Callable[[], Any]
-Take = Callable[[str, Any, float], None]
+SectionBuilder = Callable[[], Any]
+SectionHandler = Callable[[str, Any, float], None]
 # What reading another version's or a spoiled section may raise.
 TASK_NAME = "peers"
 SECTION_ERRORS = (ArithmeticError, AttributeError, LookupError, TypeError, ValueError)
@@ -57,35 +57,37 @@
         settings = state.settings
         self._state = state
         self._port = settings.peers.port
-        self._sections: dict[str, tuple[Build, Take]] = {}
+        self._sections: dict[str, tuple[SectionBuilder, SectionHandler]] = {}
         self._transport: asyncio.DatagramTransport | None = None
         self._background = BackgroundTasks(state.metrics)
-        self._sent_bytes = self._brief_bytes = 0
-        self._suspended = read_suspended()
-        self._view = HostView("", frozenset(), 1)
-        self._view_at = float("-inf")
+        self._full_datagram_bytes = self._brief_datagram_bytes = 0
+        self._suspended_seconds = read_suspended()
+        self._host_view = HostView("", frozenset(), 1)
+        self._host_view_at = float("-inf")
         self.on_pause: list[Callable[[], None]] = []
         self.members = SeedMembership(
             HostIdentity(settings.peers, new_incarnation()),
             settings.name,
             settings.failure_domain,
-            self._place(settings.seeds),
+            self._get_gossip_addresses(settings.seeds),
             random.Random(state.random.random()),
             read_clock(),
         )
 
-    def add_section(self, name: str, build: Build, take: Take) -> None:
+    def add_section(
+        self, name: str, build: SectionBuilder, handle: SectionHandler
+    ) -> None:
         """Tell peers what build() returns, and give take() what they tell.
 
         build returns data for msgpack, or None for nothing now. take gets the peer's
         name, the data, and its age in seconds beyond the usual delay; the data comes
         from the network and must be checked: what it raises counts as malformed.
         """
-        self._sections[name] = (build, take)
+        self._sections[name] = (build, handle)
 
     def apply_settings(self) -> None:
         """Take over the seeds of changed settings."""
-        self.members.set_seeds(self._place(self._state.settings.seeds))
+        self.members.set_seeds(self._get_gossip_addresses(self._state.settings.seeds))
 
     def get_names(self) -> tuple[str, ...]:
         """Return the names of the peers that were heard, leaving ones left out."""
@@ -99,15 +101,15 @@
     def get_host_view(self) -> HostView:
         """Return the hosts that this one knows, as they were moments ago."""
         now = read_clock()
-        if now - self._view_at >= c.HOST_VIEW_REFRESH_SECONDS:
+        if now - self._host_view_at >= c.HOST_VIEW_REFRESH_SECONDS:
             known = self.members.get_known_addresses(now)
             most = max(len(known), self.members.get_max_known_host_count(now))
             names = frozenset(map(str, known))
             view = HostView(str(self.members.own.address), names, most)
-            if view != self._view:
-                self._view = view
-            self._view_at = now
-        return self._view
+            if view != self._host_view:
+                self._host_view = view
+            self._host_view_at = now
+        return self._host_view
 
     def get_control_address(self, name: str) -> Address | None:
         """Return where a peer is asked over TCP; ports are the same on all hosts."""
@@ -124,7 +126,7 @@
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(address.host, address.port)
         )
-        self._background.start(TASK_NAME, self._async_tell)
+        self._background.start(TASK_NAME, self._async_run_rounds)
 
     async def async_unload(self) -> None:
         """Tell the peers that this host leaves, and stop."""
@@ -133,7 +135,7 @@
             self.set_leaving()
             self._transport.close()
 
-    def tell_now(self, is_urgent: bool = False) -> None:
+    def send_now(self, is_urgent: bool = False) -> None:
         """Tell the mates what the sections hold without waiting for the round.
 
         is_urgent: also where the rounds can't pay for it soon.
@@ -144,12 +146,12 @@
             data, self.members.choose_immediate_receivers(len(data), now, is_urgent)
         )
 
-    def tell_all(self, section: str) -> None:
+    def send_section_to_all(self, section: str) -> None:
         """Tell each known peer what one section holds, whatever the rounds allow."""
         data = self._pack(self._build_sections(section), is_brief=True)
         self._send_data(data, self.members.get_addresses())
 
-    def tell_some(self, section: str, addresses: Iterable[Address]) -> int:
+    def send_section_to(self, section: str, addresses: Iterable[Address]) -> int:
         """Tell the hosts at these addresses what one section holds.
 
         Return how many bytes that takes for each of them.
@@ -182,10 +184,10 @@
             self._state.metrics.count("peer_datagrams_refused")
             return
         now = read_clock()
-        self._note_suspended(now)
+        self._record_suspension(now)
         known = self.members.get_peer(hello.identity.address)
         last_timestamp = known.last_timestamp if known is not None else -1
-        self._carry_out(self.members.handle(HelloReceived(hello), now))
+        self._apply_effects(self.members.handle(HelloReceived(hello), now))
         peer = self.members.get_peer(hello.identity.address)
         is_late = (
             peer is None
@@ -193,22 +195,22 @@
             or (known is peer and hello.timestamp <= last_timestamp)
         )
         if not is_late:
-            self._take_sections(peer, hello, sections, now)
+            self._handle_sections(peer, hello, sections, now)
 
     def error_received(self, exc: Exception) -> None:
         """Pass over a peer's port that nothing listens at."""
 
-    async def _async_tell(self) -> None:
+    async def _async_run_rounds(self) -> None:
         expected_at = read_clock()
         while True:
             now = read_clock()
             is_paused = now - expected_at > c.MIN_PROCESS_PAUSE_SECONDS
             if is_paused:
-                self._note_pause(now - expected_at)
-            event = RoundDue(self._sent_bytes, self._brief_bytes)
+                self._report_pause(now - expected_at)
+            event = RoundDue(self._full_datagram_bytes, self._brief_datagram_bytes)
             # After a pause, views are old: this round tells only that the host is
             # there, so that nobody takes what it knew before for fresh.
-            self._carry_out(
+            self._apply_effects(
                 self.members.handle(event, now), with_sections=not is_paused
             )
             jitter = self._state.random.uniform(-1.0, 1.0) * c.PEER_ROUND_JITTER
@@ -216,20 +218,20 @@
             expected_at = read_clock() + wait
             await asyncio.sleep(wait)
 
-    def _note_suspended(self, now: float) -> None:
-        before, self._suspended = self._suspended, read_suspended()
-        if self._suspended - before > c.MIN_SUSPENDED_SECONDS:
-            self.members.note_suspended(self._suspended - before, now)
+    def _record_suspension(self, now: float) -> None:
+        before, self._suspended_seconds = self._suspended_seconds, read_suspended()
+        if self._suspended_seconds - before > c.MIN_SUSPENDED_SECONDS:
+            self.members.note_suspended(self._suspended_seconds - before, now)
 
-    def _note_pause(self, seconds: float) -> None:
+    def _report_pause(self, seconds: float) -> None:
         log_event("pause_noticed", seconds=seconds)
         for notify in self.on_pause:
             notify()
 
-    def _place(self, controls: Iterable[Address]) -> list[Address]:
+    def _get_gossip_addresses(self, controls: Iterable[Address]) -> list[Address]:
         return [Address(control.host, self._port) for control in controls]
 
-    def _carry_out(
+    def _apply_effects(
         self, effects: Iterable[SeedEffect], with_sections: bool = True
     ) -> None:
         for effect in effects:
@@ -246,27 +248,27 @@
         with_sections: bool,
         is_brief: bool = False,
     ) -> None:
-        targets = list(addresses)
-        if self._transport is None or not targets:
+        recipients = list(addresses)
+        if self._transport is None or not recipients:
             return
         data = self._pack(self._build_sections() if with_sections else {}, is_brief)
         if is_brief:
-            self._brief_bytes = len(data)
+            self._brief_datagram_bytes = len(data)
         else:
-            self._sent_bytes = len(data)
-        self._send_data(data, targets)
+            self._full_datagram_bytes = len(data)
+        self._send_data(data, recipients)
 
-    def _send_data(self, data: bytes, targets: Iterable[Address]) -> None:
+    def _send_data(self, data: bytes, recipients: Iterable[Address]) -> None:
         if self._transport is None:
             return
-        for target in targets:
+        for recipient in recipients:
             # A cut or full link: hints may be lost.
             with suppress(OSError):
-                self._transport.sendto(data, (target.host, target.port))
+                self._transport.sendto(data, (recipient.host, recipient.port))
 
     def _build_sections(self, only: str = "") -> dict[str, bytes]:
         sections = {}
-        room = c.MAX_SENT_DATAGRAM_BYTES
+        bytes_left = c.MAX_SENT_DATAGRAM_BYTES
         for name, (build, _) in self._sections.items():
             if only not in ("", name):
                 continue
@@ -274,10 +276,10 @@
             if content is None:
                 continue
             packed = msgpack.packb(content)
-            if len(packed) > room:
+            if len(packed) > bytes_left:
                 self._state.metrics.count("peer_sections_left_out", name)
                 continue
-            room -= len(packed)
+            bytes_left -= len(packed)
             sections[name] = packed
         return sections
 
@@ -289,14 +291,14 @@
         if len(data) > c.MAX_RECEIVED_DATAGRAM_BYTES:
             raise FrameError("the datagram is too large")
         try:
-            number, packed_hello, sections = msgpack.unpackb(data)
+            format_number, packed_hello, sections = msgpack.unpackb(data)
         except (ValueError, TypeError, msgpack.UnpackException) as err:
             raise FrameError(f"not a datagram of a peer: {err}") from None
-        if number != c.PEER_FORMAT or not isinstance(sections, dict):
+        if format_number != c.PEER_FORMAT or not isinstance(sections, dict):
             raise FrameError("not a datagram of a peer")
         return Hello.unpack(sender, packed_hello), sections
 
-    def _take_sections(
+    def _handle_sections(
         self, peer: KnownPeer, hello: Hello, sections: dict[str, bytes], now: float
     ) -> None:
         age = self.members.compute_age(peer, hello.timestamp, now)
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -172,10 +172,10 @@
             # Symptom: they hear of it at their turn, up to a second later, and refuse
             # all callers meanwhile. It is told once, by the few that read first.
             self._has_told = True
-            self._peers.tell_all(SECTION)
+            self._peers.send_section_to_all(SECTION)
         elif self._get_place().group:
             # In a large fleet few hosts ask, and the others wait for their word.
-            self._peers.tell_now(is_urgent=has_changes)
+            self._peers.send_now(is_urgent=has_changes)
 
     async def _async_read(self, step: ReadAll | Watch) -> SourceAnswered | PageRead:
         if isinstance(step, ReadAll):
@@ -254,7 +254,7 @@
         self._hear(PeerGave())
         if not self._has_told:
             self._has_told = True
-            self._peers.tell_now(is_urgent=True)
+            self._peers.send_now(is_urgent=True)
         if given.portion.complete >= self.book.changed:
             self._confirm(asked_at - given.confirmed_age)
         return True
@@ -274,7 +274,7 @@
         # Word of another group reaches one host of this one. Symptom: the rest of the
         # group asks the source for what is known. Mates were told by their own mate.
         if is_news and self._get_place().group and not self._peers.is_mate(name):
-            self._peers.tell_now()
+            self._peers.send_now()
 
     def take(self, portion: RecordBatch, after: int) -> list[Record]:
         """Take records in, in any order; return those that were new."""
--- a/libraries/gateway/tarragonward_gateway/suspect_task.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_task.py
@@ -69,7 +69,7 @@
     def _send_due(self) -> None:
         for news in self._gossip.take_due(read_clock()):
             self._outgoing = news.fingerprints
-            self._peers.tell_some(SECTION, news.hosts)
+            self._peers.send_section_to(SECTION, news.hosts)
         self._outgoing = ()
         self._arm()
 
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -35,11 +35,11 @@
     peers, chooser = Peers(state), TargetChooser(state, lambda: 5.0)
     told = []
 
-    def tell_some(section, to):
+    def send_section_to(section, to):
         told.append((section, list(to)))
         return SIZE
 
-    monkeypatch.setattr(peers, "tell_some", tell_some)
+    monkeypatch.setattr(peers, "send_section_to", send_section_to)
     for number, address in enumerate((MATE, FAR)):
         identity = HostIdentity(address, number)
         hello = Hello(identity, f"h{number}", "d", 1, 3, False, ())
