--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -90,7 +90,7 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(_log_loop_exception)
         loop.add_signal_handler(signal.SIGTERM, self.ask_stop)
-        loop.add_signal_handler(signal.SIGHUP, self.settings.tell)
+        loop.add_signal_handler(signal.SIGHUP, self.settings.request_reload)
         parts = (
             self.operators,
             self.peers,
--- a/libraries/gateway/tarragonward_gateway/clock.py
+++ b/libraries/gateway/tarragonward_gateway/clock.py
@@ -4,7 +4,7 @@
 
 import time
 
-__all__ = ["read_clock", "read_suspended"]
+__all__ = ["read_clock", "read_suspended_seconds"]
 
 
 def read_clock() -> float:
@@ -17,6 +17,6 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def read_suspended() -> float:
+def read_suspended_seconds() -> float:
     """Return how many seconds the host was suspended since it booted."""
     return read_clock() - time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/libraries/gateway/tarragonward_gateway/peers.py
+++ b/libraries/gateway/tarragonward_gateway/peers.py
@@ -34,7 +34,7 @@
 from tarragonward_placement import HostView
 
 from . import const as c
-from .clock import read_clock, read_suspended
+from .clock import read_clock, read_suspended_seconds
 from .state import GatewayState
 
 __all__ = ["Peers"]
@@ -61,7 +61,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._background = BackgroundTasks(state.metrics)
         self._full_datagram_bytes = self._brief_datagram_bytes = 0
-        self._suspended_seconds = read_suspended()
+        self._suspended_seconds = read_suspended_seconds()
         self._host_view = HostView("", frozenset(), 1)
         self._host_view_at = float("-inf")
         self.on_pause: list[Callable[[], None]] = []
@@ -219,7 +219,10 @@
             await asyncio.sleep(wait)
 
     def _record_suspension(self, now: float) -> None:
-        before, self._suspended_seconds = self._suspended_seconds, read_suspended()
+        before, self._suspended_seconds = (
+            self._suspended_seconds,
+            read_suspended_seconds(),
+        )
         if self._suspended_seconds - before > c.MIN_SUSPENDED_SECONDS:
             self.members.note_suspended(self._suspended_seconds - before, now)
 
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -14,7 +14,7 @@
 from tarragonward_wire import HttpServer
 
 from . import const as c
-from .clock import read_clock, read_suspended
+from .clock import read_clock, read_suspended_seconds
 from .following import (
     AskPeer,
     AskSource,
@@ -180,13 +180,13 @@
     async def _async_read(self, step: ReadAll | Watch) -> SourceAnswered | PageRead:
         if isinstance(step, ReadAll):
             return await self._async_read_page()
-        after, suspended = self.book.complete, read_suspended()
+        after, suspended = self.book.complete, read_suspended_seconds()
         read = await self._reader.async_watch(
             after, step.seconds, c.WATCH_SILENCE_TIMEOUT_SECONDS
         )
         # The answer may have lain in the socket of a host that stood still. Symptom:
         # the host, and all that hear it, take an old table for confirmed just now.
-        age = read.age_seconds + max(0.0, read_suspended() - suspended)
+        age = read.age_seconds + max(0.0, read_suspended_seconds() - suspended)
         new = self.take(RecordBatch(read.records, read.revision, False), after)
         is_gap = not read.records and read.revision > after
         return SourceAnswered(bool(new), is_gap, age)
--- a/libraries/gateway/tarragonward_gateway/reload.py
+++ b/libraries/gateway/tarragonward_gateway/reload.py
@@ -19,7 +19,7 @@
 
 TASK_NAME = "settings"
 # What is read from the settings at each use; all else is bound at the start.
-CHANGEABLE = ("bounds", "seeds")
+RELOADABLE_FIELDS = ("bounds", "seeds")
 
 
 @dataclass(frozen=True)
@@ -27,18 +27,18 @@
     """Settings to go on with; what was taken over, and what needs a restart."""
 
     settings: GatewaySettings
-    taken: tuple[str, ...]
-    kept_back: tuple[str, ...]
+    applied: tuple[str, ...]
+    need_restart: tuple[str, ...]
 
 
-def merge_settings(current: GatewaySettings, found: GatewaySettings) -> SettingsChange:
+def merge_settings(current: GatewaySettings, loaded: GatewaySettings) -> SettingsChange:
     """Return what a running host makes of newly found settings."""
     names = GatewaySettings.__dataclass_fields__
-    changed = [n for n in names if getattr(current, n) != getattr(found, n)]
-    taken = tuple(name for name in changed if name in CHANGEABLE)
-    kept_back = tuple(name for name in changed if name not in CHANGEABLE)
-    settings = replace(current, **{name: getattr(found, name) for name in taken})
-    return SettingsChange(settings, taken, kept_back)
+    changed = [n for n in names if getattr(current, n) != getattr(loaded, n)]
+    applied = tuple(name for name in changed if name in RELOADABLE_FIELDS)
+    need_restart = tuple(name for name in changed if name not in RELOADABLE_FIELDS)
+    settings = replace(current, **{name: getattr(loaded, name) for name in applied})
+    return SettingsChange(settings, applied, need_restart)
 
 
 class SettingsTask:
@@ -52,8 +52,8 @@
     def __init__(self, state: GatewayState, path: Path | None) -> None:
         self._state = state
         self._path = path
-        self._seen: bytes | None = None
-        self._told = asyncio.Event()
+        self._last_data: bytes | None = None
+        self._reload_requested = asyncio.Event()
         self._background = BackgroundTasks(state.metrics)
         self.on_change: list[Callable[[], None]] = []
 
@@ -62,64 +62,64 @@
         if self._path is None:
             return
         self.check()
-        self._background.start(TASK_NAME, self._async_follow)
+        self._background.start(TASK_NAME, self._async_poll)
 
     async def async_unload(self) -> None:
         """Look no more."""
         await self._background.async_unload()
 
-    def tell(self) -> None:
+    def request_reload(self) -> None:
         """Read the file now, as a signal asks."""
-        self._told.set()
+        self._reload_requested.set()
 
-    async def _async_follow(self) -> None:
+    async def _async_poll(self) -> None:
         while True:
             try:
                 async with asyncio.timeout(c.SETTINGS_CHECK_INTERVAL_SECONDS):
-                    await self._told.wait()
+                    await self._reload_requested.wait()
             except TimeoutError:
                 pass
-            is_told = self._told.is_set()
-            self._told.clear()
-            self.check(is_told)
+            is_requested = self._reload_requested.is_set()
+            self._reload_requested.clear()
+            self.check(is_requested)
 
-    def check(self, is_told: bool = False) -> None:
+    def check(self, is_requested: bool = False) -> None:
         """Read the file and judge it if it is not as it was."""
         assert self._path is not None
         try:
             data = self._path.read_bytes()
         except OSError as err:
-            self._note_unreadable(err, is_told)
+            self._log_unreadable(err, is_requested)
             return
-        if data == self._seen:
-            if is_told:
-                log_event("settings_unchanged", is_told=is_told)
+        if data == self._last_data:
+            if is_requested:
+                log_event("settings_unchanged", is_told=is_requested)
             return
-        self._seen = data
+        self._last_data = data
         try:
-            found = parse_gateway_settings(data)
+            loaded = parse_gateway_settings(data)
         except SettingsError as err:
             self._state.metrics.count("settings_refused")
             log_event("settings_refused", level=logging.ERROR, error=str(err))
             return
-        self._take_over(found, is_told)
+        self._apply(loaded, is_requested)
 
-    def _note_unreadable(self, err: OSError, is_told: bool) -> None:
+    def _log_unreadable(self, err: OSError, is_requested: bool) -> None:
         # Said once: a file that is gone would else cost a line a second.
-        if self._seen != b"" or is_told:
+        if self._last_data != b"" or is_requested:
             log_event("settings_unreadable", level=logging.ERROR, error=str(err))
-        self._seen = b""
+        self._last_data = b""
 
-    def _take_over(self, found: GatewaySettings, is_told: bool) -> None:
-        change = merge_settings(self._state.settings, found)
+    def _apply(self, loaded: GatewaySettings, is_requested: bool) -> None:
+        change = merge_settings(self._state.settings, loaded)
         self._state.settings = change.settings
-        if change.taken or change.kept_back or is_told:
+        if change.applied or change.need_restart or is_requested:
             log_event(
                 "settings_taken_over",
-                taken=",".join(change.taken) or None,
-                need_restart=",".join(change.kept_back) or None,
-                is_told=is_told,
+                taken=",".join(change.applied) or None,
+                need_restart=",".join(change.need_restart) or None,
+                is_told=is_requested,
             )
-        if change.taken:
+        if change.applied:
             for notify in self.on_change:
                 notify()
--- a/libraries/gateway/tests/test_reload.py
+++ b/libraries/gateway/tests/test_reload.py
@@ -114,7 +114,7 @@
     changed = asyncio.Event()
     task.on_change.append(changed.set)
     path.write_text(TEXT.replace("drain_seconds = 2", "drain_seconds = 5"))
-    task.tell()
+    task.request_reload()
     async with asyncio.timeout(5):
         await changed.wait()
     await task.async_unload()
