--- a/libraries/bench/tarragonward_bench/hearing/host.py
+++ b/libraries/bench/tarragonward_bench/hearing/host.py
@@ -13,22 +13,22 @@
 from tarragonward_core import Address, HostIdentity
 from tarragonward_gateway import const as gateway_const
 from tarragonward_gateway.following import (
-    AskPeer,
-    AskSource,
-    Confirm,
+    ConfirmationAged,
     Follower,
     FollowEvent,
     HistoryLost,
+    MarkConfirmed,
     PageRead,
     Pause,
-    PeerGave,
-    PeerRefused,
-    PeerTold,
+    PeerDataApplied,
+    PeerPullFailed,
+    PeerReported,
+    PullFromPeer,
+    QuerySource,
     ReadAll,
     SourceAnswered,
     SourceFailed,
     Step,
-    Unconfirmed,
 )
 from tarragonward_gateway.paged_read import PagedRead
 from tarragonward_gateway.polling import KnownHost, PollingOrder, choose_polling_order
@@ -232,7 +232,7 @@
         if asked != self._asked or not self._wake_at(self._doubt, asked):
             return
         age = self._world.now - self.confirmed_at
-        self._hear(Unconfirmed(age))
+        self._hear(ConfirmationAged(age))
         left = gateway_const.MAX_CONFIRMED_AGE_SECONDS - age
         wait = max(left, gateway_const.CONFIRMED_AGE_CHECK_SECONDS)
         self._world.after(wait, lambda: self._doubt(asked))
@@ -287,12 +287,12 @@
     def _hear(self, event: FollowEvent) -> None:
         now = self._world.now
         hosts = self.members.count_hosts()
-        for effect in self.follower.hear(event, self.book.complete, hosts, now):
-            if isinstance(effect, Confirm):
+        for effect in self.follower.handle(event, self.book.complete, hosts, now):
+            if isinstance(effect, MarkConfirmed):
                 self.confirmed_at = max(self.confirmed_at, now - effect.age_seconds)
-            elif isinstance(effect, AskPeer) and self._pulls.begin(now):
+            elif isinstance(effect, PullFromPeer) and self._pulls.begin(now):
                 self._pull(effect.name)
-            elif isinstance(effect, AskSource):
+            elif isinstance(effect, QuerySource):
                 self._asked += 1
                 asked = self._asked
                 self._world.after(0.0, lambda: self._follow(asked))
@@ -308,7 +308,7 @@
         def refuse() -> None:
             end()
             if self._wake_at(refuse):
-                self._hear(PeerRefused(name))
+                self._hear(PeerPullFailed(name))
 
         def refuse_soon() -> None:
             wait = self._random.random() * gateway_const.MAX_NEXT_PEER_DELAY_SECONDS
@@ -335,7 +335,7 @@
                 return
             if self._wake_at(take, portion, age, number):
                 self.take(portion, after)
-                self._hear(PeerGave())
+                self._hear(PeerDataApplied())
                 if not self._has_told:
                     self._has_told = True
                     self._tell_records(True)
@@ -485,7 +485,7 @@
         changed, packed_age, _ = section
         late = self.members.compute_age(peer, hello.timestamp, now)
         before = self.confirmed_at
-        self._hear(PeerTold(hello.name, changed, unpack_age(packed_age) + late))
+        self._hear(PeerReported(hello.name, changed, unpack_age(packed_age) + late))
         is_news = self.confirmed_at - before > gateway_const.RELAY_MIN_GAIN_SECONDS
         if is_news and self.place.group and str(address) not in self.place.group:
             self._tell_records(has_changes=False)
--- a/libraries/gateway/tarragonward_gateway/following.py
+++ b/libraries/gateway/tarragonward_gateway/following.py
@@ -10,23 +10,23 @@
 from .polling import PollingOrder
 
 __all__ = [
-    "AskPeer",
-    "AskSource",
-    "Confirm",
+    "PullFromPeer",
+    "QuerySource",
+    "MarkConfirmed",
     "FollowEffect",
     "FollowEvent",
     "Follower",
     "HistoryLost",
     "PageRead",
     "Pause",
-    "PeerGave",
-    "PeerRefused",
-    "PeerTold",
+    "PeerDataApplied",
+    "PeerPullFailed",
+    "PeerReported",
     "ReadAll",
     "SourceAnswered",
     "SourceFailed",
     "Step",
-    "Unconfirmed",
+    "ConfirmationAged",
     "Watch",
 ]
 
@@ -79,47 +79,47 @@
 
 
 @dataclass(frozen=True)
-class PeerTold:
+class PeerReported:
     """What a peer holds; confirmed_age is since anyone it knows had an answer."""
 
     name: str
-    changed: int
+    changed_revision: int
     confirmed_age: float
 
 
 @dataclass(frozen=True)
-class PeerGave:
+class PeerDataApplied:
     """A peer gave all that it holds, and it was taken in."""
 
 
 @dataclass(frozen=True)
-class PeerRefused:
+class PeerPullFailed:
     """A peer that was asked gave nothing: it gives to many, or is out of reach."""
 
     name: str
 
 
 @dataclass(frozen=True)
-class Unconfirmed:
+class ConfirmationAged:
     """What the host holds was last confirmed so long ago, by the source or a peer."""
 
     age_seconds: float
 
 
 @dataclass(frozen=True)
-class AskPeer:
+class PullFromPeer:
     """Ask a peer for what changed after the book's revision."""
 
     name: str
 
 
 @dataclass(frozen=True)
-class AskSource:
+class QuerySource:
     """Give up the watch in progress, or the pause, and ask the source now."""
 
 
 @dataclass(frozen=True)
-class Confirm:
+class MarkConfirmed:
     """All that was published so many seconds ago is in the book."""
 
     age_seconds: float
@@ -131,12 +131,12 @@
     | PageRead
     | SourceFailed
     | HistoryLost
-    | PeerTold
-    | PeerGave
-    | PeerRefused
-    | Unconfirmed
+    | PeerReported
+    | PeerDataApplied
+    | PeerPullFailed
+    | ConfirmationAged
 )
-FollowEffect = AskPeer | AskSource | Confirm
+FollowEffect = PullFromPeer | QuerySource | MarkConfirmed
 
 
 class Follower:
@@ -152,28 +152,28 @@
         self._started_at = now
         self._must_read = True
         # Whether the source has answered, and whether a peer gave what is held before.
-        self._is_begun = False
-        self._is_given = False
-        self._is_woken = True
+        self._has_source_answered = False
+        self._has_peer_data = False
+        self._was_woken = True
         # Hosts that start at once would all read all. Symptom: the source refuses most
         # of their calls, and a large fleet serves only seconds after its start. Those
         # that wait, at first and after a page of many, are fed by the first; alone,
         # they read after the wait.
-        self._leaves_reading = start_wait > 0.0
+        self._defers_first_read = start_wait > 0.0
         self._start_wait = start_wait
         self._pause_until = now + min(start_wait, c.SEED_ANSWER_SECONDS)
         self._changed_at = float("-inf")
         self._behind_since: float | None = None
-        self._ahead = 0
-        self._asked_peer_at = float("-inf")
+        self._newest_reported = 0
+        self._pulled_at = float("-inf")
         # The peers that told last of more than this host held.
-        self._holders: dict[str, None] = {}
+        self._peers_ahead: dict[str, None] = {}
         self._failing_since: float | None = None
         self._failed_at = float("-inf")
         self._last_outage_at = float("-inf")
         self._confirmed_at = float("-inf")
-        self._is_return_tried = False
-        self._is_fed = False
+        self._has_tried_recovery = False
+        self._relies_on_others = False
         self._is_watching = False
         self._is_reading = False
         self.failures = 0
@@ -191,20 +191,22 @@
     def _choose_step(
         self, place: PollingOrder, confirmed_age: float, now: float
     ) -> Step:
-        fed_left = self._compute_fed_left(place, confirmed_age)
-        self._is_fed = fed_left > 0.0
-        if self._is_fed:
-            self._end_failing(now)
-            return Pause(max(fed_left, c.STANDBY_CHECK_SECONDS))
+        reliance_left = self._compute_reliance_left(place, confirmed_age)
+        self._relies_on_others = reliance_left > 0.0
+        if self._relies_on_others:
+            self._clear_failures(now)
+            return Pause(max(reliance_left, c.STANDBY_CHECK_SECONDS))
         if now < self._pause_until:
             return Pause(self._pause_until - now)
         if self._must_read:
             return ReadAll()
-        if place.standby_rank is not None or self._is_given:
+        if place.standby_rank is not None or self._has_peer_data:
             return Watch(c.STANDBY_WATCH_SECONDS)
-        return Watch(self._choose_wait(place))
+        return Watch(self._choose_watch_seconds(place))
 
-    def _compute_fed_left(self, place: PollingOrder, confirmed_age: float) -> float:
+    def _compute_reliance_left(
+        self, place: PollingOrder, confirmed_age: float
+    ) -> float:
         """Return how much longer others ask for this host.
 
         Its readers may be dead, frozen or cut off from it or from the source. Symptom:
@@ -221,57 +223,57 @@
         )
         return wait + place.standby_rank * c.STANDBY_RANK_STEP_SECONDS - confirmed_age
 
-    def _choose_wait(self, place: PollingOrder) -> float:
+    def _choose_watch_seconds(self, place: PollingOrder) -> float:
         hosts = place.hosts
         if place.group:
             wait = min(c.MAX_WATCH_SECONDS, hosts * c.POLLER_WATCH_STAGGER_SECONDS)
-            return wait * (place.rank + 1) / hosts if self._is_woken else wait
+            return wait * (place.rank + 1) / hosts if self._was_woken else wait
         # A change wakes all watches at once. Symptom: they also end at once, and for
         # seconds nobody knows whether anything is new. Places keep their ends apart.
         slot = max(c.WATCH_STAGGER_SECONDS, c.MIN_WATCH_SECONDS / hosts)
         slot = min(slot, c.MAX_WATCH_SECONDS / hosts)
-        return slot * (place.rank + 1 if self._is_woken else hosts)
+        return slot * (place.rank + 1 if self._was_woken else hosts)
 
-    def hear(
-        self, event: FollowEvent, complete: int, hosts: int, now: float
+    def handle(
+        self, event: FollowEvent, complete_revision: int, hosts: int, now: float
     ) -> list[FollowEffect]:
         """Take an event; return what follows. complete is the book's revision."""
-        return _hear(event, self, complete, hosts, now)
+        return _handle(event, self, complete_revision, hosts, now)
 
     def is_after_outage(self, now: float) -> bool:
         """Return whether the source was away for a while until moments ago."""
         return now - self._last_outage_at < c.AFTER_OUTAGE_SECONDS
 
-    def take_answer(self, has_changes: bool, is_gap: bool, now: float) -> None:
+    def handle_answer(self, has_changes: bool, is_gap: bool, now: float) -> None:
         """Note an answer of the source."""
-        self._note_outage(now)
-        self._is_woken = has_changes or bool(self.failures)
+        self._update_outage(now)
+        self._was_woken = has_changes or bool(self.failures)
         self.failures = 0
         self._failing_since = None
-        self._is_return_tried = False
+        self._has_tried_recovery = False
         self._must_read = is_gap
-        self._is_begun = True
-        self._is_given = False
+        self._has_source_answered = True
+        self._has_peer_data = False
         self._behind_since = None
         if not has_changes:
             return
         # Changes come in crowds, at a start or a release, and each wakes every watch
         # of every host: after a short pause, one call brings many.
-        is_crowd = now - self._changed_at < c.CHANGE_BURST_WINDOW_SECONDS
-        pause = c.CHANGE_BURST_DELAY_SECONDS if is_crowd else c.CHANGE_DELAY_SECONDS
+        is_burst = now - self._changed_at < c.CHANGE_BURST_WINDOW_SECONDS
+        pause = c.CHANGE_BURST_DELAY_SECONDS if is_burst else c.CHANGE_DELAY_SECONDS
         self._pause_until = now + pause
         self._changed_at = now
 
-    def take_page(self, complete: int, now: float) -> None:
+    def handle_page(self, complete_revision: int, now: float) -> None:
         """Note a page of a reading that goes on: the source answers again."""
-        if self._leaves_reading and not complete:
-            self._wait_to_be_given(now)
-        self._note_outage(now)
+        if self._defers_first_read and not complete_revision:
+            self._wait_for_peers(now)
+        self._update_outage(now)
         self.failures = 0
         self._failing_since = None
-        self._is_return_tried = False
+        self._has_tried_recovery = False
 
-    def take_failure(self, complete: int, hosts: int, now: float) -> None:
+    def handle_failure(self, complete_revision: int, hosts: int, now: float) -> None:
         """Note a failed call, and wait longer the more hosts ask."""
         if self._failing_since is None:
             self._failing_since = now
@@ -281,15 +283,15 @@
         # a table that was replaced is used for seconds. Reading all sees any change.
         self._must_read = True
         limit = c.SOURCE_RETRY_MAX_SECONDS
-        if complete:
+        if complete_revision:
             limit = max(limit, hosts * c.SOURCE_RETRY_SECONDS_PER_HOST)
         limit = min(limit, c.SOURCE_RETRY_LIMIT_SECONDS)
         wait = min(c.SOURCE_RETRY_FIRST_SECONDS * 2**self.failures, limit)
         self.failures = min(self.failures + 1, 16)
         self._pause_until = now + wait * self._random.uniform(0.5, 1.0)
-        self._note_outage(now)
+        self._update_outage(now)
 
-    def doubt_watch(self, confirmed_age: float) -> list[FollowEffect]:
+    def check_watch(self, confirmed_age: float) -> list[FollowEffect]:
         """Give up a watch that nobody's word speaks for.
 
         A watch may get no answer ever, though the source answers others again.
@@ -301,13 +303,13 @@
             return []
         self._is_watching = False
         self._must_read = True
-        return [AskSource()]
+        return [QuerySource()]
 
-    def take_history_lost(self) -> None:
+    def handle_history_lost(self) -> None:
         """Note that all must be read anew."""
         self._must_read = True
 
-    def take_gift(self, complete: int) -> None:
+    def handle_peer_data(self, complete_revision: int) -> None:
         """Note that a peer gave what it holds, up to a revision.
 
         A host that starts would read all that it was given once more. Symptom: a
@@ -316,65 +318,69 @@
         is enough: it brings what changed since, and where the source no longer has
         that, its answer shows it and all is read.
         """
-        if self._is_begun or self.failures or not complete:
+        if self._has_source_answered or self.failures or not complete_revision:
             return
         self._must_read = False
-        self._is_given = True
+        self._has_peer_data = True
 
-    def take_peer(
-        self, told: PeerTold, complete: int, now: float
+    def handle_peer_report(
+        self, report: PeerReported, complete_revision: int, now: float
     ) -> list[FollowEffect]:
         """Compare with what a peer holds."""
         effects: list[FollowEffect] = []
-        if self._leaves_reading and not complete:
+        if self._defers_first_read and not complete_revision:
             # Only where a peer answers is anyone there to wait for. Symptom, after a
             # loss of power: hosts wait for seeds that start later than they do.
             start_until = self._started_at + self._start_wait
             self._pause_until = max(self._pause_until, start_until)
-        if self._ahead <= complete:
+        if self._newest_reported <= complete_revision:
             # Only what this host holds ends its being behind: peers that hold less
             # tell nothing about it.
             self._behind_since = None
-        self._holders.pop(told.name, None)
-        if told.changed <= complete:
-            effects.append(Confirm(told.confirmed_age))
+        self._peers_ahead.pop(report.name, None)
+        if report.changed_revision <= complete_revision:
+            effects.append(MarkConfirmed(report.confirmed_age))
         else:
-            self._note_holder(told.name)
-            self._ahead = max(self._ahead, told.changed)
-            effects += self._catch_up(told.name, complete, now)
-        if self._shows_return(told, now):
-            self._is_return_tried = True
+            self._add_peer_ahead(report.name)
+            self._newest_reported = max(self._newest_reported, report.changed_revision)
+            effects += self._catch_up(report.name, complete_revision, now)
+        if self._shows_recovery(report, now):
+            self._has_tried_recovery = True
             spread = self._random.uniform(0.0, c.RECOVERY_SPREAD_SECONDS)
             self._pause_until = min(self._pause_until, now + spread)
-            effects += self._ask_source()
+            effects += self._query_source()
         return effects
 
-    def _catch_up(self, name: str, complete: int, now: float) -> list[FollowEffect]:
+    def _catch_up(
+        self, name: str, complete_revision: int, now: float
+    ) -> list[FollowEffect]:
         if self._behind_since is None:
             self._behind_since = now
         # Its own watch most often brings a host the same a moment later.
-        grace = c.BEHIND_GRACE_SECONDS if complete else 0.0
-        if self.failures or self._is_fed:
+        grace = c.BEHIND_GRACE_SECONDS if complete_revision else 0.0
+        if self.failures or self._relies_on_others:
             grace = 0.0
         is_early = now - self._behind_since < grace
-        if is_early or now - self._asked_peer_at < c.PEER_PULL_INTERVAL_SECONDS:
+        if is_early or now - self._pulled_at < c.PEER_PULL_INTERVAL_SECONDS:
             return []
-        self._asked_peer_at = now
-        effects: list[FollowEffect] = [AskPeer(name)]
-        if not complete:
-            self._wait_to_be_given(now)
+        self._pulled_at = now
+        effects: list[FollowEffect] = [PullFromPeer(name)]
+        if not complete_revision:
+            self._wait_for_peers(now)
         # A host that is fed and stays behind is confirmed by nobody, and asks for that.
-        if complete and not self.failures and not self._is_fed:
+        if complete_revision and not self.failures and not self._relies_on_others:
             self._must_read = True
-            effects += self._ask_source()
+            effects += self._query_source()
         return effects
 
-    def _note_holder(self, name: str) -> None:
-        self._holders[name] = None
-        while len(self._holders) > c.MAX_AHEAD_PEERS:
-            self._holders.pop(next(iter(self._holders)))
+    def _add_peer_ahead(self, name: str) -> None:
+        self._peers_ahead[name] = None
+        while len(self._peers_ahead) > c.MAX_AHEAD_PEERS:
+            self._peers_ahead.pop(next(iter(self._peers_ahead)))
 
-    def take_refusal(self, name: str, complete: int, now: float) -> list[FollowEffect]:
+    def handle_pull_failure(
+        self, name: str, complete_revision: int, now: float
+    ) -> list[FollowEffect]:
         """Ask another peer that holds more, once one has given nothing.
 
         All that start, or hear of one change, ask the few that hold it, and each of
@@ -382,15 +388,15 @@
         for: most of a large fleet has no table for another second, or works by the one
         before it.
         """
-        if self._ahead <= complete:
+        if self._newest_reported <= complete_revision:
             return []
-        others = [peer for peer in self._holders if peer != name]
-        self._asked_peer_at = now
-        if not complete:
-            self._wait_to_be_given(now)
-        return [AskPeer(self._random.choice(others or [name]))]
+        others = [peer for peer in self._peers_ahead if peer != name]
+        self._pulled_at = now
+        if not complete_revision:
+            self._wait_for_peers(now)
+        return [PullFromPeer(self._random.choice(others or [name]))]
 
-    def _ask_source(self) -> list[FollowEffect]:
+    def _query_source(self) -> list[FollowEffect]:
         """Ask the source at once, unless it is being read.
 
         A large table takes its time on the host's link, and peers that are ahead say so
@@ -398,27 +404,27 @@
         ends, and the host, and all that it feeds, work by the table before it. What
         the reading misses as it began too soon shows by the next word after its end.
         """
-        return [] if self._is_reading else [AskSource()]
+        return [] if self._is_reading else [QuerySource()]
 
-    def _wait_to_be_given(self, now: float) -> None:
+    def _wait_for_peers(self, now: float) -> None:
         """Leave the source to others while peers may give what they have read."""
-        longest = self._started_at + c.MAX_START_WAIT_SECONDS
-        given_until = min(now + c.START_PULL_WAIT_SECONDS, longest)
-        self._pause_until = max(self._pause_until, given_until)
+        longest_wait = self._started_at + c.MAX_START_WAIT_SECONDS
+        pause_until = min(now + c.START_PULL_WAIT_SECONDS, longest_wait)
+        self._pause_until = max(self._pause_until, pause_until)
 
-    def _shows_return(self, told: PeerTold, now: float) -> bool:
-        answered_at = now - told.confirmed_age
-        is_news = answered_at > self._failed_at + c.HINT_MARGIN_SECONDS
-        return bool(self.failures) and is_news and not self._is_return_tried
+    def _shows_recovery(self, report: PeerReported, now: float) -> bool:
+        answered_at = now - report.confirmed_age
+        is_newer = answered_at > self._failed_at + c.HINT_MARGIN_SECONDS
+        return bool(self.failures) and is_newer and not self._has_tried_recovery
 
-    def _end_failing(self, now: float) -> None:
+    def _clear_failures(self, now: float) -> None:
         """Forget the failures of a host that is fed again."""
-        self._note_outage(now)
+        self._update_outage(now)
         self._failing_since = None
-        self._is_return_tried = False
+        self._has_tried_recovery = False
         self.failures = 0
 
-    def _note_outage(self, now: float) -> None:
+    def _update_outage(self, now: float) -> None:
         # A host may be the only one that the source does not reach. Symptom, were that
         # an outage: it takes what its peers tell it has left for what has lapsed, and
         # uses it past the drain's bound. What peers confirm shows that all others hear.
@@ -429,68 +435,100 @@
 
 
 @singledispatch
-def _hear(
-    event: FollowEvent, follower: Follower, complete: int, hosts: int, now: float
+def _handle(
+    event: FollowEvent,
+    follower: Follower,
+    complete_revision: int,
+    hosts: int,
+    now: float,
 ) -> list[FollowEffect]:
     raise TypeError(f"not an event: {event!r}")
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: SourceAnswered, follower: Follower, complete: int, hosts: int, now: float
+    event: SourceAnswered,
+    follower: Follower,
+    complete_revision: int,
+    hosts: int,
+    now: float,
 ) -> list[FollowEffect]:
-    follower.take_answer(event.has_changes, event.is_gap, now)
-    return [Confirm(event.age_seconds)]
+    follower.handle_answer(event.has_changes, event.is_gap, now)
+    return [MarkConfirmed(event.age_seconds)]
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: PageRead, follower: Follower, complete: int, hosts: int, now: float
+    event: PageRead, follower: Follower, complete_revision: int, hosts: int, now: float
 ) -> list[FollowEffect]:
-    follower.take_page(complete, now)
+    follower.handle_page(complete_revision, now)
     return []
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: SourceFailed, follower: Follower, complete: int, hosts: int, now: float
+    event: SourceFailed,
+    follower: Follower,
+    complete_revision: int,
+    hosts: int,
+    now: float,
 ) -> list[FollowEffect]:
-    follower.take_failure(complete, hosts, now)
+    follower.handle_failure(complete_revision, hosts, now)
     return []
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: HistoryLost, follower: Follower, complete: int, hosts: int, now: float
+    event: HistoryLost,
+    follower: Follower,
+    complete_revision: int,
+    hosts: int,
+    now: float,
 ) -> list[FollowEffect]:
-    follower.take_history_lost()
+    follower.handle_history_lost()
     return []
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: PeerTold, follower: Follower, complete: int, hosts: int, now: float
+    event: PeerReported,
+    follower: Follower,
+    complete_revision: int,
+    hosts: int,
+    now: float,
 ) -> list[FollowEffect]:
-    return follower.take_peer(event, complete, now)
+    return follower.handle_peer_report(event, complete_revision, now)
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: PeerGave, follower: Follower, complete: int, hosts: int, now: float
+    event: PeerDataApplied,
+    follower: Follower,
+    complete_revision: int,
+    hosts: int,
+    now: float,
 ) -> list[FollowEffect]:
-    follower.take_gift(complete)
+    follower.handle_peer_data(complete_revision)
     return []
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: PeerRefused, follower: Follower, complete: int, hosts: int, now: float
+    event: PeerPullFailed,
+    follower: Follower,
+    complete_revision: int,
+    hosts: int,
+    now: float,
 ) -> list[FollowEffect]:
-    return follower.take_refusal(event.name, complete, now)
+    return follower.handle_pull_failure(event.name, complete_revision, now)
 
 
-@_hear.register
+@_handle.register
 def _(
-    event: Unconfirmed, follower: Follower, complete: int, hosts: int, now: float
+    event: ConfirmationAged,
+    follower: Follower,
+    complete_revision: int,
+    hosts: int,
+    now: float,
 ) -> list[FollowEffect]:
-    return follower.doubt_watch(event.age_seconds)
+    return follower.check_watch(event.age_seconds)
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -16,21 +16,21 @@
 from . import const as c
 from .clock import read_clock, read_suspended_seconds
 from .following import (
-    AskPeer,
-    AskSource,
-    Confirm,
+    ConfirmationAged,
     Follower,
     FollowEvent,
     HistoryLost,
+    MarkConfirmed,
     PageRead,
     Pause,
-    PeerGave,
-    PeerRefused,
-    PeerTold,
+    PeerDataApplied,
+    PeerPullFailed,
+    PeerReported,
+    PullFromPeer,
+    QuerySource,
     ReadAll,
     SourceAnswered,
     SourceFailed,
-    Unconfirmed,
     Watch,
 )
 from .paged_read import PagedRead
@@ -125,7 +125,7 @@
         while True:
             left = c.MAX_CONFIRMED_AGE_SECONDS - self._get_confirmed_age()
             await asyncio.sleep(max(left, c.CONFIRMED_AGE_CHECK_SECONDS))
-            self._hear(Unconfirmed(self._get_confirmed_age()))
+            self._hear(ConfirmationAged(self._get_confirmed_age()))
 
     async def _async_until_woken(self, work: Any) -> bool:
         """Do the work until its end, or until a peer shows that it is in vain.
@@ -208,12 +208,12 @@
     def _hear(self, event: FollowEvent) -> None:
         now = read_clock()
         hosts = self._peers.members.count_hosts()
-        for effect in self._follower.hear(event, self.book.complete, hosts, now):
-            if isinstance(effect, Confirm):
+        for effect in self._follower.handle(event, self.book.complete, hosts, now):
+            if isinstance(effect, MarkConfirmed):
                 self._confirm(now - effect.age_seconds)
-            elif isinstance(effect, AskPeer):
+            elif isinstance(effect, PullFromPeer):
                 self._pull(effect.name, now)
-            elif isinstance(effect, AskSource):
+            elif isinstance(effect, QuerySource):
                 self._wake.set()
 
     def _pull(self, name: str, now: float) -> None:
@@ -236,7 +236,7 @@
         finally:
             self._pull_limit.end(begun_at)
         if not is_given:
-            self._hear(PeerRefused(name))
+            self._hear(PeerPullFailed(name))
 
     async def _async_take_from(self, name: str) -> bool:
         """Return whether a peer gave what this host lacks."""
@@ -251,7 +251,7 @@
             return False
         new = self.take(given.portion, after)
         log_event("records_from_peer", peer=name, count=len(new), after=after)
-        self._hear(PeerGave())
+        self._hear(PeerDataApplied())
         if not self._has_told:
             self._has_told = True
             self._peers.send_now(is_urgent=True)
@@ -269,7 +269,7 @@
         if type(changed) is not int or changed < 0:
             raise ValueError("not a revision")
         before = self._state.table_confirmed_at
-        self._hear(PeerTold(name, changed, unpack_age(confirmed_age) + age))
+        self._hear(PeerReported(name, changed, unpack_age(confirmed_age) + age))
         is_news = self._state.table_confirmed_at - before > c.RELAY_MIN_GAIN_SECONDS
         # Word of another group reaches one host of this one. Symptom: the rest of the
         # group asks the source for what is known. Mates were told by their own mate.
--- a/libraries/gateway/tests/test_following.py
+++ b/libraries/gateway/tests/test_following.py
@@ -6,20 +6,20 @@
 
 from tarragonward_gateway import const as c
 from tarragonward_gateway.following import (
-    AskPeer,
-    AskSource,
-    Confirm,
+    ConfirmationAged,
     Follower,
     HistoryLost,
+    MarkConfirmed,
     PageRead,
     Pause,
-    PeerGave,
-    PeerRefused,
-    PeerTold,
+    PeerDataApplied,
+    PeerPullFailed,
+    PeerReported,
+    PullFromPeer,
+    QuerySource,
     ReadAll,
     SourceAnswered,
     SourceFailed,
-    Unconfirmed,
     Watch,
 )
 from tarragonward_gateway.polling import PollingOrder
@@ -36,20 +36,20 @@
 
 @pytest.fixture
 def watching(follower):
-    follower.hear(SourceAnswered(False), 10, HOSTS, 1.0)
+    follower.handle(SourceAnswered(False), 10, HOSTS, 1.0)
     return follower
 
 
 def test_all_is_read_first_and_after_lost_history(follower):
     assert follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.0) == ReadAll()
-    follower.hear(SourceAnswered(False), 10, HOSTS, 0.1)
+    follower.handle(SourceAnswered(False), 10, HOSTS, 0.1)
     assert isinstance(follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.1), Watch)
-    follower.hear(HistoryLost(), 10, HOSTS, 0.2)
+    follower.handle(HistoryLost(), 10, HOSTS, 0.2)
     assert follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.2) == ReadAll()
 
 
 def test_more_hosts_wait_longer_each(watching):
-    watching.hear(SourceAnswered(False), 10, HOSTS, 1.0)
+    watching.handle(SourceAnswered(False), 10, HOSTS, 1.0)
     assert watching.choose_step(PollingOrder(1, 0), NO_AGE, 1.0) == Watch(
         c.MIN_WATCH_SECONDS
     )
@@ -67,7 +67,7 @@
     In between nobody could tell whether an unknown route is new: callers are told
     to come back, and a store that has died in silence is noticed late.
     """
-    follower.hear(SourceAnswered(True), 10, HOSTS, 1.0)
+    follower.handle(SourceAnswered(True), 10, HOSTS, 1.0)
     steps = [
         follower.choose_step(PollingOrder(HOSTS, rank), NO_AGE, 2.0)
         for rank in range(HOSTS)
@@ -78,10 +78,10 @@
 
 
 def test_changes_in_a_crowd_are_fetched_together(watching):
-    watching.hear(SourceAnswered(True), 11, HOSTS, 2.0)
+    watching.handle(SourceAnswered(True), 11, HOSTS, 2.0)
     step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0)
     assert step.seconds == pytest.approx(c.CHANGE_DELAY_SECONDS)
-    watching.hear(SourceAnswered(True), 12, HOSTS, 2.5)
+    watching.handle(SourceAnswered(True), 12, HOSTS, 2.5)
     step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.5)
     assert step.seconds == pytest.approx(c.CHANGE_BURST_DELAY_SECONDS)
 
@@ -92,12 +92,15 @@
     Its own time-out is seconds away, the bound for changes two. A peer tells a newer
     revision; a moment later, as this host's watch stays silent, both are asked.
     """
-    told = PeerTold("peer", 12, 0.1)
-    assert watching.hear(told, 10, HOSTS, 5.0) == []
-    assert watching.hear(told, 10, HOSTS, 5.3) == []
+    told = PeerReported("peer", 12, 0.1)
+    assert watching.handle(told, 10, HOSTS, 5.0) == []
+    assert watching.handle(told, 10, HOSTS, 5.3) == []
     late = 5.0 + c.BEHIND_GRACE_SECONDS
-    assert watching.hear(told, 10, HOSTS, late) == [AskPeer("peer"), AskSource()]
-    assert watching.hear(told, 10, HOSTS, late + 0.1) == []
+    assert watching.handle(told, 10, HOSTS, late) == [
+        PullFromPeer("peer"),
+        QuerySource(),
+    ]
+    assert watching.handle(told, 10, HOSTS, late + 0.1) == []
 
 
 def test_all_is_read_after_a_watch_that_was_cut(watching):
@@ -107,34 +110,34 @@
     watches. A new watch from the old revision waits in silence: the change before it
     is in no history, and shows only when the next one comes.
     """
-    watching.hear(SourceFailed(), 10, HOSTS, 2.0)
+    watching.handle(SourceFailed(), 10, HOSTS, 2.0)
     assert watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 9.0) == ReadAll()
 
 
 def test_all_is_read_after_an_answer_that_passes_over_a_change(watching):
-    watching.hear(SourceAnswered(False, is_gap=True), 12, HOSTS, 2.0)
+    watching.handle(SourceAnswered(False, is_gap=True), 12, HOSTS, 2.0)
     assert watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0) == ReadAll()
-    watching.hear(SourceAnswered(False), 12, HOSTS, 2.1)
+    watching.handle(SourceAnswered(False), 12, HOSTS, 2.1)
     assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.1), Watch)
 
 
 def test_a_change_that_its_own_watch_brings_asks_nobody(watching):
-    told = PeerTold("peer", 12, 0.1)
-    watching.hear(told, 10, HOSTS, 5.0)
-    watching.hear(SourceAnswered(True), 12, HOSTS, 5.1)
-    assert watching.hear(told, 12, HOSTS, 6.0) == [Confirm(0.1)]
+    told = PeerReported("peer", 12, 0.1)
+    watching.handle(told, 10, HOSTS, 5.0)
+    watching.handle(SourceAnswered(True), 12, HOSTS, 5.1)
+    assert watching.handle(told, 12, HOSTS, 6.0) == [MarkConfirmed(0.1)]
 
 
 def test_a_host_that_the_source_refuses_asks_a_peer_at_once(watching):
-    watching.hear(SourceFailed(), 10, HOSTS, 2.0)
-    told = PeerTold("peer", 12, float("inf"))
-    assert watching.hear(told, 10, HOSTS, 2.1) == [AskPeer("peer")]
+    watching.handle(SourceFailed(), 10, HOSTS, 2.0)
+    told = PeerReported("peer", 12, float("inf"))
+    assert watching.handle(told, 10, HOSTS, 2.1) == [PullFromPeer("peer")]
 
 
 def test_a_host_that_starts_beside_a_dead_source_asks_a_peer(follower):
-    follower.hear(SourceFailed(), 0, HOSTS, 0.5)
-    told = PeerTold("peer", 12, float("inf"))
-    assert follower.hear(told, 0, HOSTS, 0.6) == [AskPeer("peer")]
+    follower.handle(SourceFailed(), 0, HOSTS, 0.5)
+    told = PeerReported("peer", 12, float("inf"))
+    assert follower.handle(told, 0, HOSTS, 0.6) == [PullFromPeer("peer")]
     assert isinstance(
         follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 9.0), ReadAll
     )
@@ -147,12 +150,12 @@
     stays silent for seconds, without a word of the lost history, and the key's calls
     go on being served. A whole reading brings the change at once.
     """
-    watching.hear(SourceFailed(), 10, HOSTS, 2.0)
+    watching.handle(SourceFailed(), 10, HOSTS, 2.0)
     step = watching.choose_step(
         PollingOrder(HOSTS, 0), NO_AGE, 2.0 + c.SOURCE_RETRY_FIRST_SECONDS
     )
     assert step == ReadAll()
-    watching.hear(SourceAnswered(True), 14, HOSTS, 2.1)
+    watching.handle(SourceAnswered(True), 14, HOSTS, 2.1)
     assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 3.0), Watch)
 
 
@@ -162,15 +165,15 @@
     The first reading hangs. One peer holds all, the others that restarted hold
     nothing, and what they tell must not let the host forget that it is behind.
     """
-    empty = PeerTold("restarted", 0, float("inf"))
-    whole = PeerTold("peer", 26, 6.0)
+    empty = PeerReported("restarted", 0, float("inf"))
+    whole = PeerReported("peer", 26, 6.0)
     asked = []
     for step in range(4):
         now = 0.1 * step
-        asked += follower.hear(whole, 0, HOSTS, now)
-        asked += follower.hear(empty, 0, HOSTS, now + 0.05)
-    assert AskPeer("peer") in asked
-    assert AskSource() not in asked
+        asked += follower.handle(whole, 0, HOSTS, now)
+        asked += follower.handle(empty, 0, HOSTS, now + 0.05)
+    assert PullFromPeer("peer") in asked
+    assert QuerySource() not in asked
 
 
 def test_peers_that_hold_less_do_not_hide_that_a_watch_is_dead(watching):
@@ -179,26 +182,26 @@
     One peer tells the newer revision. The others' watches are as deaf: they hold what
     this host holds, and their word must not let it forget that it is behind.
     """
-    ahead, level = PeerTold("peer", 12, 0.1), PeerTold("deaf", 10, 0.1)
+    ahead, level = PeerReported("peer", 12, 0.1), PeerReported("deaf", 10, 0.1)
     asked = []
     for step in range(9):
         now = 5.0 + 0.1 * step
-        asked += watching.hear(ahead, 10, HOSTS, now)
-        asked += watching.hear(level, 10, HOSTS, now + 0.05)
-    assert AskPeer("peer") in asked
-    assert AskSource() in asked
+        asked += watching.handle(ahead, 10, HOSTS, now)
+        asked += watching.handle(level, 10, HOSTS, now + 0.05)
+    assert PullFromPeer("peer") in asked
+    assert QuerySource() in asked
 
 
 def test_failures_back_off_further_while_others_ask_too(watching):
     now = 2.0
     for _ in range(10):
-        watching.hear(SourceFailed(), 10, HOSTS, now)
+        watching.handle(SourceFailed(), 10, HOSTS, now)
         step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, now)
         now += step.seconds
     assert step.seconds > 1.3
     lone = Follower(random.Random(1), 0.0)
     for _ in range(10):
-        lone.hear(SourceFailed(), 0, HOSTS, 2.0)
+        lone.handle(SourceFailed(), 0, HOSTS, 2.0)
     assert (
         lone.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0).seconds
         <= c.SOURCE_RETRY_MAX_SECONDS
@@ -208,13 +211,13 @@
 def test_a_source_that_is_back_for_a_peer_is_tried_once_more_at_once(watching):
     """The source is back; a host in a long pause would miss what lapsed meanwhile."""
     for _ in range(8):
-        watching.hear(SourceFailed(), 10, HOSTS, 4.0)
-    effects = watching.hear(PeerTold("peer", 10, 0.2), 10, HOSTS, 4.5)
-    assert AskSource() in effects
+        watching.handle(SourceFailed(), 10, HOSTS, 4.0)
+    effects = watching.handle(PeerReported("peer", 10, 0.2), 10, HOSTS, 4.5)
+    assert QuerySource() in effects
     step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 4.5)
     assert not isinstance(step, Pause) or step.seconds <= c.RECOVERY_SPREAD_SECONDS
-    again = watching.hear(PeerTold("peer", 10, 0.1), 10, HOSTS, 4.6)
-    assert AskSource() not in again
+    again = watching.handle(PeerReported("peer", 10, 0.1), 10, HOSTS, 4.6)
+    assert QuerySource() not in again
 
 
 def test_a_source_that_refuses_one_host_only_is_not_asked_at_each_hint(watching):
@@ -225,18 +228,18 @@
     asked = 0
     for step in range(10):
         now = 4.0 + 2.0 * step
-        watching.hear(SourceFailed(), 10, HOSTS, now)
-        told = PeerTold("peer", 10, 0.1)
-        asked += AskSource() in watching.hear(told, 10, HOSTS, now + 1.0)
+        watching.handle(SourceFailed(), 10, HOSTS, now)
+        told = PeerReported("peer", 10, 0.1)
+        asked += QuerySource() in watching.handle(told, 10, HOSTS, now + 1.0)
     assert asked == 1
 
 
 def test_an_outage_is_remembered_for_moments(watching):
-    watching.hear(SourceFailed(), 10, HOSTS, 2.0)
-    watching.hear(SourceAnswered(False), 10, HOSTS, 2.2)
+    watching.handle(SourceFailed(), 10, HOSTS, 2.0)
+    watching.handle(SourceAnswered(False), 10, HOSTS, 2.2)
     assert not watching.is_after_outage(2.2)
-    watching.hear(SourceFailed(), 10, HOSTS, 3.0)
-    watching.hear(SourceAnswered(True), 10, HOSTS, 6.0)
+    watching.handle(SourceFailed(), 10, HOSTS, 3.0)
+    watching.handle(SourceAnswered(True), 10, HOSTS, 6.0)
     assert watching.is_after_outage(6.1)
     assert not watching.is_after_outage(6.0 + c.AFTER_OUTAGE_SECONDS)
 
@@ -249,9 +252,9 @@
     """
     for now in (2.0, 3.0, 4.0, 5.0):
         watching.choose_step(PollingOrder(HOSTS, 0), 1.5, now)
-        watching.hear(SourceFailed(), 10, HOSTS, now)
+        watching.handle(SourceFailed(), 10, HOSTS, now)
     watching.choose_step(PollingOrder(HOSTS, 0), 1.5, 6.0)
-    watching.hear(SourceAnswered(False), 10, HOSTS, 6.1)
+    watching.handle(SourceAnswered(False), 10, HOSTS, 6.1)
     assert not watching.is_after_outage(6.1)
 
 
@@ -265,11 +268,11 @@
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     step = follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.0)
     assert step == Pause(c.SEED_ANSWER_SECONDS)
-    follower.hear(PeerTold("seed", 0, float("inf")), 0, 3, 0.01)
+    follower.handle(PeerReported("seed", 0, float("inf")), 0, 3, 0.01)
     step = follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.05)
     assert step.seconds == pytest.approx(c.START_WAIT_SECONDS - 0.05)
-    told = PeerTold("seed", 12, 0.0)
-    assert AskPeer("seed") in follower.hear(told, 0, 3, 0.1)
+    told = PeerReported("seed", 12, 0.0)
+    assert PullFromPeer("seed") in follower.handle(told, 0, 3, 0.1)
     assert isinstance(follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.3), Pause)
 
 
@@ -288,11 +291,11 @@
     A short watch from the revision given tells what changed since.
     """
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
-    follower.hear(PeerTold("seed", 12, 0.0), 0, 3, 0.1)
-    follower.hear(PeerGave(), 12, 3, 0.2)
+    follower.handle(PeerReported("seed", 12, 0.0), 0, 3, 0.1)
+    follower.handle(PeerDataApplied(), 12, 3, 0.2)
     step = follower.choose_step(PollingOrder(3, 0), NO_AGE, 1.0)
     assert step == Watch(c.STANDBY_WATCH_SECONDS)
-    follower.hear(SourceAnswered(False), 12, 3, 1.1)
+    follower.handle(SourceAnswered(False), 12, 3, 1.1)
     later = follower.choose_step(PollingOrder(3, 0), NO_AGE, 1.1)
     assert isinstance(later, Watch) and later.seconds > c.STANDBY_WATCH_SECONDS
 
@@ -305,16 +308,20 @@
     """
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     for name in ("seed", "fed"):
-        follower.hear(PeerTold(name, 12, 0.0), 0, 195, 0.1)
-    assert follower.hear(PeerRefused("seed"), 0, 195, 0.15) == [AskPeer("fed")]
+        follower.handle(PeerReported(name, 12, 0.0), 0, 195, 0.1)
+    assert follower.handle(PeerPullFailed("seed"), 0, 195, 0.15) == [
+        PullFromPeer("fed")
+    ]
     assert isinstance(follower.choose_step(PollingOrder(195, 0), NO_AGE, 0.5), Pause)
-    assert follower.hear(PeerRefused("fed"), 12, 195, 0.2) == []
+    assert follower.handle(PeerPullFailed("fed"), 12, 195, 0.2) == []
 
 
 def test_a_host_that_only_one_peer_can_give_asks_it_again():
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
-    follower.hear(PeerTold("seed", 12, 0.0), 0, 195, 0.1)
-    assert follower.hear(PeerRefused("seed"), 0, 195, 0.15) == [AskPeer("seed")]
+    follower.handle(PeerReported("seed", 12, 0.0), 0, 195, 0.1)
+    assert follower.handle(PeerPullFailed("seed"), 0, 195, 0.15) == [
+        PullFromPeer("seed")
+    ]
 
 
 @pytest.mark.parametrize(
@@ -327,8 +334,8 @@
     watch brings the change; the answer's revision or its failure shows that.
     """
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
-    follower.hear(PeerGave(), 12, 3, 0.2)
-    follower.hear(event, 12, 3, 1.1)
+    follower.handle(PeerDataApplied(), 12, 3, 0.2)
+    follower.handle(event, 12, 3, 1.1)
     assert follower.choose_step(PollingOrder(3, 0), NO_AGE, 9.0) == ReadAll()
 
 
@@ -345,7 +352,7 @@
     """Each peer is asked and gives nothing; the host still reads within two seconds."""
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     for turn in range(40):
-        follower.hear(PeerTold("busy", 12, 0.0), 0, 3, 0.1 * turn)
+        follower.handle(PeerReported("busy", 12, 0.0), 0, 3, 0.1 * turn)
     assert (
         follower.choose_step(PollingOrder(3, 0), NO_AGE, c.MAX_START_WAIT_SECONDS)
         == ReadAll()
@@ -354,9 +361,9 @@
 
 def test_a_page_between_refusals_lets_the_reading_go_on_soon(follower):
     for _ in range(6):
-        follower.hear(SourceFailed(), 0, HOSTS, 1.0)
-    follower.hear(PageRead(), 0, HOSTS, 3.0)
-    follower.hear(SourceFailed(), 0, HOSTS, 3.1)
+        follower.handle(SourceFailed(), 0, HOSTS, 1.0)
+    follower.handle(PageRead(), 0, HOSTS, 3.0)
+    follower.handle(SourceFailed(), 0, HOSTS, 3.1)
     step = follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 3.1)
     assert step.seconds <= c.SOURCE_RETRY_FIRST_SECONDS
 
@@ -366,8 +373,8 @@
 
     Awake, it called itself and all its peers sure of what is published just now.
     """
-    assert watching.hear(SourceAnswered(False, False, 2.5), 10, HOSTS, 9.0) == [
-        Confirm(2.5)
+    assert watching.handle(SourceAnswered(False, False, 2.5), 10, HOSTS, 9.0) == [
+        MarkConfirmed(2.5)
     ]
 
 
@@ -387,14 +394,17 @@
     them, and will get none; it answers again, but each host waits for its watch's end.
     """
     watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 1.0)
-    assert watching.hear(Unconfirmed(c.MAX_CONFIRMED_AGE_SECONDS), 10, HOSTS, 3.0) == []
-    late = Unconfirmed(c.MAX_CONFIRMED_AGE_SECONDS + 0.1)
-    assert watching.hear(late, 10, HOSTS, 3.3) == [AskSource()]
+    assert (
+        watching.handle(ConfirmationAged(c.MAX_CONFIRMED_AGE_SECONDS), 10, HOSTS, 3.0)
+        == []
+    )
+    late = ConfirmationAged(c.MAX_CONFIRMED_AGE_SECONDS + 0.1)
+    assert watching.handle(late, 10, HOSTS, 3.3) == [QuerySource()]
     assert watching.choose_step(PollingOrder(HOSTS, 0), 2.3, 3.3) == ReadAll()
-    assert watching.hear(late, 10, HOSTS, 3.4) == []
+    assert watching.handle(late, 10, HOSTS, 3.4) == []
 
 
 def test_a_source_that_fails_is_not_asked_sooner_as_nobody_confirms(watching):
-    watching.hear(SourceFailed(), 10, HOSTS, 2.0)
+    watching.handle(SourceFailed(), 10, HOSTS, 2.0)
     assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), 9.0, 2.0), Pause)
-    assert watching.hear(Unconfirmed(9.0), 10, HOSTS, 2.0) == []
+    assert watching.handle(ConfirmationAged(9.0), 10, HOSTS, 2.0) == []
--- a/libraries/gateway/tests/test_polling.py
+++ b/libraries/gateway/tests/test_polling.py
@@ -6,11 +6,11 @@
 
 from tarragonward_gateway import const as c
 from tarragonward_gateway.following import (
-    AskPeer,
-    Confirm,
     Follower,
+    MarkConfirmed,
     Pause,
-    PeerTold,
+    PeerReported,
+    PullFromPeer,
     ReadAll,
     SourceAnswered,
     SourceFailed,
@@ -40,7 +40,7 @@
 @pytest.fixture
 def fed():
     follower = Follower(random.Random(1), 0.0)
-    follower.hear(SourceAnswered(False), 10, 75, 1.0)
+    follower.handle(SourceAnswered(False), 10, 75, 1.0)
     follower.choose_step(FED, 0.0, 1.0)
     return follower
 
@@ -85,28 +85,30 @@
 
 
 def test_a_fed_host_that_is_behind_pulls_at_once_and_asks_no_source(fed):
-    told = PeerTold("mate", 11, 0.01)
-    assert fed.hear(told, 10, 75, 1.1) == [AskPeer("mate")]
-    assert fed.hear(told, 10, 75, 1.1 + c.BEHIND_GRACE_SECONDS) == [AskPeer("mate")]
-    assert fed.hear(told, 11, 75, 2.0) == [Confirm(0.01)]
+    told = PeerReported("mate", 11, 0.01)
+    assert fed.handle(told, 10, 75, 1.1) == [PullFromPeer("mate")]
+    assert fed.handle(told, 10, 75, 1.1 + c.BEHIND_GRACE_SECONDS) == [
+        PullFromPeer("mate")
+    ]
+    assert fed.handle(told, 11, 75, 2.0) == [MarkConfirmed(0.01)]
     assert isinstance(fed.choose_step(FED, 0.01, 2.0), Pause)
 
 
 def test_failures_of_a_fed_host_end_when_it_is_fed_again(fed):
     """Alone, it asked in vain; much later one more failure is no long outage."""
     fed.choose_step(FED, 9.0, 2.0)
-    fed.hear(SourceFailed(), 10, 75, 2.0)
+    fed.handle(SourceFailed(), 10, 75, 2.0)
     assert fed.choose_step(FED, 9.0, 2.9) == ReadAll()
     assert isinstance(fed.choose_step(FED, 0.1, 3.0), Pause)
     fed.choose_step(FED, 9.0, 50.0)
-    fed.hear(SourceFailed(), 10, 75, 50.0)
+    fed.handle(SourceFailed(), 10, 75, 50.0)
     assert fed.failures == 1
     assert not fed.is_after_outage(50.0)
 
 
 def test_readers_watches_that_a_change_woke_end_one_after_the_other():
     follower = Follower(random.Random(1), 0.0)
-    follower.hear(SourceAnswered(True), 10, 75, 1.0)
+    follower.handle(SourceAnswered(True), 10, 75, 1.0)
     waits = [
         follower.choose_step(
             PollingOrder(18, rank, group=READER.group), 0.0, 2.0
