--- a/libraries/gateway/tarragonward_gateway/cells.py
+++ b/libraries/gateway/tarragonward_gateway/cells.py
@@ -67,7 +67,7 @@
         names = set(self._polling_order.group)
         for _, cell in self._cells.values():
             names |= cell.hosts
-        self._peers.set_mates([Address.parse(name) for name in names])
+        self._peers.set_cell_peers([Address.parse(name) for name in names])
 
     def _choose(self, service: str) -> Cell:
         hosts = [host.located for host in self._list_hosts()]
--- a/libraries/gateway/tarragonward_gateway/peers.py
+++ b/libraries/gateway/tarragonward_gateway/peers.py
@@ -160,13 +160,13 @@
         self._send_data(data, addresses)
         return len(data)
 
-    def is_mate(self, name: str) -> bool:
+    def is_cell_peer(self, name: str) -> bool:
         """Return whether a peer is among the mates."""
         mates = self.members.get_cell_peers()
         peers = (self.members.get_peer(address) for address in mates)
         return any(peer is not None and peer.name == name for peer in peers)
 
-    def set_mates(self, addresses: Collection[Address]) -> None:
+    def set_cell_peers(self, addresses: Collection[Address]) -> None:
         """Tell the hosts at these addresses all that this host does, in each round."""
         self.members.set_cell_peers(addresses)
 
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -273,7 +273,7 @@
         is_news = self._state.table_confirmed_at - before > c.RELAY_MIN_GAIN_SECONDS
         # Word of another group reaches one host of this one. Symptom: the rest of the
         # group asks the source for what is known. Mates were told by their own mate.
-        if is_news and self._get_place().group and not self._peers.is_mate(name):
+        if is_news and self._get_place().group and not self._peers.is_cell_peer(name):
             self._peers.send_now()
 
     def take(self, portion: RecordBatch, after: int) -> list[Record]:
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -44,7 +44,7 @@
         identity = HostIdentity(address, number)
         hello = Hello(identity, f"h{number}", "d", 1, 3, False, ())
         peers.members.handle(HelloReceived(hello), 0.0)
-    peers.set_mates([MATE])
+    peers.set_cell_peers([MATE])
     return chooser, CellGossip(state, peers, chooser), told
 
 
