--- a/libraries/gateway/tarragonward_gateway/__init__.py
+++ b/libraries/gateway/tarragonward_gateway/__init__.py
@@ -13,8 +13,8 @@
     Records,
     Reservation,
     ReservationAnswer,
+    ReservationClient,
     SourceError,
-    TargetCalls,
 )
 from .settings import (
     GatewaySettings,
@@ -36,7 +36,7 @@
     "Reservation",
     "ReservationAnswer",
     "SourceError",
-    "TargetCalls",
+    "ReservationClient",
     "build_log_budget",
     "load_gateway_settings",
     "parse_gateway_settings",
--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -23,7 +23,7 @@
 from .limit_task import LimitTask
 from .operators import OperatorsTask
 from .peers import Peers
-from .ports import HeaderNames, Paths, RecordParser, RecordReader, TargetCalls
+from .ports import HeaderNames, Paths, RecordParser, RecordReader, ReservationClient
 from .publications import PublicationTask
 from .reload import SettingsTask
 from .reservations import ReservationTask
@@ -43,7 +43,7 @@
         settings: GatewaySettings,
         reader: RecordReader,
         parser: RecordParser,
-        calls: TargetCalls,
+        calls: ReservationClient,
         headers: HeaderNames | None = None,
         paths: Paths | None = None,
         settings_path: Path | None = None,
--- a/libraries/gateway/tarragonward_gateway/ports.py
+++ b/libraries/gateway/tarragonward_gateway/ports.py
@@ -20,7 +20,7 @@
     "Records",
     "Reservation",
     "SourceError",
-    "TargetCalls",
+    "ReservationClient",
 ]
 
 
@@ -147,7 +147,7 @@
     incarnation: int | None = None
 
 
-class TargetCalls(Protocol):
+class ReservationClient(Protocol):
     """Orders to targets; raises TargetError where no answer came."""
 
     async def async_reserve(
--- a/libraries/gateway/tarragonward_gateway/reservations.py
+++ b/libraries/gateway/tarragonward_gateway/reservations.py
@@ -18,7 +18,7 @@
 )
 
 from . import const as c
-from .ports import Reservation, TargetCalls
+from .ports import Reservation, ReservationClient
 from .state import GatewayState
 from .targets import SendChoice
 
@@ -47,7 +47,7 @@
     one ticket, and what a dead host left can be told from what is in use.
     """
 
-    def __init__(self, state: GatewayState, calls: TargetCalls) -> None:
+    def __init__(self, state: GatewayState, calls: ReservationClient) -> None:
         self._state = state
         self._calls = calls
         self._incarnation = new_incarnation()
