--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -79,19 +79,19 @@
         )
         self.settings = SettingsTask(self.state, settings_path)
         self.settings.on_change.append(self._apply_settings)
-        self._stop_asked = asyncio.Event()
+        self._stop_requested = asyncio.Event()
 
-    def ask_stop(self) -> None:
+    def request_stop(self) -> None:
         """Leave the balancer, end what is in progress, then stop."""
-        self._stop_asked.set()
+        self._stop_requested.set()
 
     async def async_run(self) -> None:
         """Serve until told to end."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(_log_loop_exception)
-        loop.add_signal_handler(signal.SIGTERM, self.ask_stop)
+        loop.add_signal_handler(signal.SIGTERM, self.request_stop)
         loop.add_signal_handler(signal.SIGHUP, self.settings.request_reload)
-        parts = (
+        components = (
             self.operators,
             self.peers,
             self.publications,
@@ -105,11 +105,11 @@
             self.settings,
         )
         async with AsyncExitStack() as stack:
-            for part in parts:
-                await part.async_setup()
-                stack.push_async_callback(part.async_unload)
+            for component in components:
+                await component.async_setup()
+                stack.push_async_callback(component.async_unload)
             log_event("host_started", callers=self.callers.address)
-            await self._stop_asked.wait()
+            await self._stop_requested.wait()
             await self._async_drain()
         log_event("host_stopped")
 
@@ -131,11 +131,11 @@
         self.peers.set_leaving()
         self.callers.close_after_answers()
         log_event("drain_started", in_flight=self.forwarder.in_flight)
-        whole = state.settings.bounds.grace_seconds - c.DRAIN_MARGIN_SECONDS
+        drain_seconds = state.settings.bounds.grace_seconds - c.DRAIN_MARGIN_SECONDS
         with suppress(TimeoutError):
-            async with asyncio.timeout(whole):
+            async with asyncio.timeout(drain_seconds):
                 # The balancer sends new connections until it has asked twice.
-                await asyncio.sleep(min(c.BALANCER_NOTICE_SECONDS, whole))
+                await asyncio.sleep(min(c.BALANCER_NOTICE_SECONDS, drain_seconds))
                 state.is_admitting = False
                 self.callers.close_idle()
                 await self.callers.async_wait_idle()
--- a/libraries/gateway/tarragonward_gateway/operators.py
+++ b/libraries/gateway/tarragonward_gateway/operators.py
@@ -27,7 +27,7 @@
 STATUS_OK = 200
 METHOD_DELETE = "DELETE"
 CONTENT_TYPE = (b"content-type", b"text/plain; version=0.0.4; charset=utf-8")
-SAY_DROPPED_SECONDS = 1.0
+DROPPED_LINES_REPORT_SECONDS = 1.0
 TASK_NAME = "log"
 
 
@@ -81,7 +81,7 @@
 
     async def async_setup(self) -> None:
         """Begin to serve."""
-        self._background.start(TASK_NAME, self._async_say_dropped)
+        self._background.start(TASK_NAME, self._async_report_dropped_lines)
         if self._server is None:
             return
         try:
@@ -96,9 +96,9 @@
         if self._server is not None:
             await self._server.async_unload()
 
-    async def _async_say_dropped(self) -> None:
+    async def _async_report_dropped_lines(self) -> None:
         while True:
-            await asyncio.sleep(SAY_DROPPED_SECONDS)
+            await asyncio.sleep(DROPPED_LINES_REPORT_SECONDS)
             event_log.say_dropped()
 
     async def _async_handle(self, request: HttpRequest, responder: Responder) -> None:
@@ -107,12 +107,12 @@
             await responder.async_send_bytes(STATUS_OK, body, (CONTENT_TYPE,))
         elif request.path == c.ROUTE_SUSPECTS:
             await responder.async_send_json(STATUS_OK, self._suspects.describe())
-        elif request.method == METHOD_DELETE and self._lift(request.path):
+        elif request.method == METHOD_DELETE and self._lift_suspect(request.path):
             await responder.async_send_json(STATUS_OK, {})
         else:
             await responder.async_send_error(ResultCode.UNKNOWN_ROUTE)
 
-    def _lift(self, path: str) -> bool:
+    def _lift_suspect(self, path: str) -> bool:
         """Let a request be sent again; return whether there was such a one."""
         route, _, name = path.rpartition("/")
         if route != c.ROUTE_SUSPECTS:
--- a/libraries/gateway/tests/test_app.py
+++ b/libraries/gateway/tests/test_app.py
@@ -134,7 +134,7 @@
     kept, _ = await host.async_start(answer_with())
     kept.send()
     assert (await kept.async_read_answer()).get("connection") == []
-    host.gateway.ask_stop()
+    host.gateway.request_stop()
     await host.async_until(lambda: host.gateway.state.is_draining)
     for caller in (kept, await host.async_open()):
         caller.send()
@@ -160,7 +160,7 @@
     idle = await host.async_open()
     caller.send()
     await host.async_until(lambda: target.seen)
-    host.gateway.ask_stop()
+    host.gateway.request_stop()
     async with asyncio.timeout(WAIT_SECONDS):
         assert await idle.reader.read() == b""
     assert not host.running.done()
@@ -182,6 +182,6 @@
     caller, target = await host.async_start(script)
     caller.send()
     await host.async_until(lambda: target.seen)
-    host.gateway.ask_stop()
+    host.gateway.request_stop()
     async with asyncio.timeout(WAIT_SECONDS):
         await host.running
