--- a/libraries/membership/tarragonward_membership/__init__.py
+++ b/libraries/membership/tarragonward_membership/__init__.py
@@ -1,6 +1,7 @@
 """Decisions, without I/O, about which hosts are there and what they tell each other."""
 
 from .demands import OTHER_ACCOUNTS
+from .encoding import hash_name
 from .hellos import Hello, PeerEntry
 from .loads import LoadReport
 from .membership import Membership
@@ -34,7 +35,6 @@
     WithdrawnTarget,
     build_boot_id,
 )
-from .scales import hash_name
 from .seeds import (
     HelloReceived,
     KnownPeer,
--- a/libraries/membership/tarragonward_membership/const.py
+++ b/libraries/membership/tarragonward_membership/const.py
@@ -2,31 +2,31 @@
 
 from __future__ import annotations
 
-# A round grows with the number of hosts, so that few hosts hear of each other within
-# a second and many stay below their byte budget.
-ROUND_SECONDS_A_HOST = 0.025
+# Rounds get longer with the number of hosts: a small fleet spreads updates within a
+# second, and the hosts of a large one stay within their traffic limit.
+ROUND_SECONDS_PER_HOST = 0.025
 MIN_ROUND_SECONDS = 0.25
 MAX_ROUND_SECONDS = 1.5
-BRIDGE_ROUNDS = 1
-BRIDGE_ROUNDS_LARGE = 4
-REGION_ROUNDS_LARGE = 6
+BRIDGE_INTERVAL_ROUNDS = 1
+BRIDGE_INTERVAL_ROUNDS_LARGE = 4
+REGION_INTERVAL_ROUNDS_LARGE = 6
 LARGE_FLEET_HOSTS = 40
-DEAD_PROBE_ROUNDS = 4
+DEAD_PROBE_INTERVAL_ROUNDS = 4
 
 PROBE_TIMEOUT_SECONDS = 0.5
 INDIRECT_TIMEOUT_SECONDS = 1.0
 INDIRECT_HELPERS = 3
 SUSPICION_SECONDS = 2.0
-SUSPICION_ROUNDS_A_DOUBLING = 1.0
-FREEZE_SECONDS = 1.5
+SUSPICION_ROUNDS_PER_DOUBLING = 1.0
+PROCESS_PAUSE_SECONDS = 1.5
 
-HEARTBEAT_SECONDS_A_HOST = 0.2
+HEARTBEAT_SECONDS_PER_HOST = 0.2
 MIN_HEARTBEAT_SECONDS = 2.0
 HEARTBEAT_TRANSMISSIONS = 2
-CHANGE_TRANSMISSIONS_A_DOUBLING = 3
+CHANGE_TRANSMISSIONS_PER_DOUBLING = 3
 
-# What one message may hold of each kind, on top of its own 60 bytes or so.
-# Loads get what records and demands leave.
+# Space per message for each kind of content, besides some 60 bytes of its own fields.
+# Loads get what records and demands leave of MAX_DIGESTS_BYTES.
 MAX_RECORDS_BYTES = 200
 MAX_HEARTBEATS_BYTES = 80
 MAX_RECORD_BYTES = 40
@@ -36,48 +36,48 @@
 MAX_DEMANDS_BYTES_SMALL = 300
 
 MAX_UNLISTED_MEMBERS = 64
-FORGET_UNLISTED_SECONDS = 120.0
-MAX_SIGHTINGS_AN_ADDRESS = 8
-MAX_SIGHTED_ADDRESSES = 1_024
+UNLISTED_RETENTION_SECONDS = 120.0
+MAX_INCARNATIONS_PER_ADDRESS = 8
+MAX_TRACKED_ADDRESSES = 1_024
 
-TARGET_WATCHERS = 2
-BRIDGES_A_DOMAIN = 2
+WATCHERS_PER_TARGET = 2
+BRIDGES_PER_DOMAIN = 2
 
 AGE_MARGIN_SECONDS = 0.3
 AGE_STEP_SECONDS = 0.1
 LOAD_TRANSMISSIONS = 3
 MAX_LOAD_AGE_SECONDS = 25.0
-DEMAND_NEW_SECONDS = 1.0
+DEMAND_UPDATE_SECONDS = 1.0
 DEMAND_TRANSMISSIONS = 4
 MAX_DEMAND_ACCOUNTS = 16
 MAX_DEMAND_AGE_SECONDS = 60.0
 MAX_DEMANDS = 256
 
-DOUBT_PROBE_SECONDS = 1.0
-DOUBT_FAILURES = 2
-MAX_DOUBTS = 64
-FORGET_DOUBT_SECONDS = 120.0
+UNCONFIRMED_PROBE_INTERVAL_SECONDS = 1.0
+UNCONFIRMED_MIN_FAILURES = 2
+MAX_UNCONFIRMED = 64
+UNCONFIRMED_RETENTION_SECONDS = 120.0
 
 LEAVING_HOLD_SECONDS = 15.0
-MISSING_READS = 4
+MISSING_LIST_READS = 4
 
 # Membership by seeds, without a host list.
 HELLO_INTERVAL_SECONDS = 0.2
-# Up to this many peers each hears from each; with more, a few are told each round.
+# Up to this many peers form a full mesh; beyond it, each round reaches a few of them.
 MAX_MESH_PEERS = 12
 HELLO_FANOUT = 3
-# This share of hellos may leave the failure domain; bytes between domains are dear.
+# Share of hellos sent to any domain: traffic between failure domains is expensive.
 CROSS_DOMAIN_HELLO_SHARE = 0.25
 MAX_GOSSIP_BYTES_PER_SECOND = 2_500
-MAX_MATES_BYTES_PER_SECOND = 16_000
-# What all hosts together may tell a second, so that each of very many tells less. What
-# mates are told stays within a failure domain, so it may be more.
-FLEET_GOSSIP_BYTES = 400_000
-FLEET_MATES_BYTES = 3_200_000
-# More mates than a mesh has are told again in rounds after so long, as a repair.
-MATES_ROUND_SECONDS = 2.0
-# News are told at once as long as rounds can pay for them within so long.
-MATES_DEBT_SECONDS = 1.0
+MAX_CELL_GOSSIP_BYTES_PER_SECOND = 16_000
+# Limits for all hosts together, which lower the rate of each one in a very large fleet.
+# Gossip between cell peers stays within a failure domain, so it may use more.
+FLEET_GOSSIP_BYTES_PER_SECOND = 400_000
+FLEET_CELL_GOSSIP_BYTES_PER_SECOND = 3_200_000
+# Interval at which rounds resend to cell peers that are more than MAX_MESH_PEERS.
+CELL_REFRESH_SECONDS = 2.0
+# Immediate updates may overdraw the byte credit by this many seconds of its rate.
+MAX_CELL_DEBT_SECONDS = 1.0
 MESH_HELLO_ENTRIES = 3
 GOSSIP_HELLO_ENTRIES = 20
 MAX_HELLO_ENTRIES = 64
@@ -85,14 +85,14 @@
 PORT_LIMIT = 65_536
 MAX_SEED_PEERS = 4_096
 SEED_RETRY_SECONDS = 1.0
-SEED_HURRY_SECONDS = 3.0
-# Silence after which a peer is dropped: at least so long, and longer in large fleets,
-# where news of each comes more seldom.
-PEER_SILENT_SECONDS = 3.0
-PEER_SILENT_SECONDS_A_PEER = 0.1
+SEED_STARTUP_SECONDS = 3.0
+# Silence after which a peer is removed; longer in large fleets, where word of each peer
+# arrives less often.
+PEER_TIMEOUT_SECONDS = 3.0
+PEER_TIMEOUT_SECONDS_PER_PEER = 0.1
 MAX_LOST_PEERS = 64
-# A host that stood still has read all that lay in its sockets after so long.
-WOKEN_SECONDS = 0.5
-HOST_COUNT_MEMORY_SECONDS = 300.0
-HOST_COUNT_GUESS_SECONDS = 60.0
+# Time in which a resumed host reads what its sockets buffered during the suspension.
+RESUME_SETTLE_SECONDS = 0.5
+HOST_COUNT_RETENTION_SECONDS = 300.0
+HOST_COUNT_STARTUP_SECONDS = 60.0
 STARTUP_HOSTS_PER_SEED = 3
--- a/libraries/membership/tarragonward_membership/doubts.py
+++ b/libraries/membership/tarragonward_membership/doubts.py
@@ -1,4 +1,4 @@
-"""Find out about lives of hosts that were asked about and never heard of."""
+"""Probe incarnations of hosts that were queried but have no record."""
 
 from __future__ import annotations
 
@@ -9,63 +9,63 @@
 
 from . import const as c
 
-__all__ = ["Doubts"]
+__all__ = ["UnconfirmedIncarnations"]
 
 
 @dataclass
-class _Doubt:
+class _PendingCheck:
     asked_at: float
     next_probe_at: float
     failures: int = 0
 
 
-class Doubts:
-    """Each doubted life is probed until it, or another at its address, answers."""
+class UnconfirmedIncarnations:
+    """Incarnations to probe until any incarnation answers at their address."""
 
     def __init__(self) -> None:
-        self._doubts: OrderedDict[HostIdentity, _Doubt] = OrderedDict()
+        self._checks: OrderedDict[HostIdentity, _PendingCheck] = OrderedDict()
 
     def add(self, identity: HostIdentity, now: float) -> None:
-        """Ask about a life, unless that was asked already."""
-        if identity not in self._doubts:
-            self._doubts[identity] = _Doubt(now, now)
-        if len(self._doubts) > c.MAX_DOUBTS:
-            self._doubts.popitem(last=False)
+        """Start to check an incarnation, unless it is being checked already."""
+        if identity not in self._checks:
+            self._checks[identity] = _PendingCheck(now, now)
+        if len(self._checks) > c.MAX_UNCONFIRMED:
+            self._checks.popitem(last=False)
 
     def take_due(self, now: float) -> list[Address]:
-        """Return the addresses to probe now, and forget old doubts."""
+        """Return the addresses to probe now, and remove expired checks."""
         due = []
-        for identity, doubt in list(self._doubts.items()):
-            if now - doubt.asked_at > c.FORGET_DOUBT_SECONDS:
-                del self._doubts[identity]
-            elif now >= doubt.next_probe_at:
-                doubt.next_probe_at = now + c.DOUBT_PROBE_SECONDS
+        for identity, check in list(self._checks.items()):
+            if now - check.asked_at > c.UNCONFIRMED_RETENTION_SECONDS:
+                del self._checks[identity]
+            elif now >= check.next_probe_at:
+                check.next_probe_at = now + c.UNCONFIRMED_PROBE_INTERVAL_SECONDS
                 due.append(identity.address)
         return list(dict.fromkeys(due))
 
-    def is_asked(self, address: Address) -> bool:
-        """Return whether a life at this address is in doubt."""
-        return any(identity.address == address for identity in self._doubts)
+    def has_address(self, address: Address) -> bool:
+        """Return whether an incarnation at this address is being checked."""
+        return any(identity.address == address for identity in self._checks)
 
-    def note_answer(self, address: Address) -> None:
-        """Note that somebody answers at the address: no silence, no doubt."""
-        for identity in [i for i in self._doubts if i.address == address]:
-            del self._doubts[identity]
+    def record_answer(self, address: Address) -> None:
+        """End the checks of an address because a host answered there."""
+        for identity in [i for i in self._checks if i.address == address]:
+            del self._checks[identity]
 
-    def note_failure(self, address: Address, sent_at: float) -> None:
-        """Note that a probe and its helpers got no answer from the address."""
-        for identity, doubt in self._doubts.items():
-            if identity.address == address and sent_at >= doubt.asked_at:
-                doubt.failures += 1
+    def record_failure(self, address: Address, sent_at: float) -> None:
+        """Count a failure: neither the direct nor the indirect probes were answered."""
+        for identity, check in self._checks.items():
+            if identity.address == address and sent_at >= check.asked_at:
+                check.failures += 1
 
     def is_silent(self, identity: HostIdentity, seconds: float, now: float) -> bool:
-        """Return whether its address was silent this long and to enough probes."""
-        doubt = self._doubts.get(identity)
-        if doubt is None or doubt.failures < c.DOUBT_FAILURES:
+        """Return whether enough probes failed over at least this many seconds."""
+        check = self._checks.get(identity)
+        if check is None or check.failures < c.UNCONFIRMED_MIN_FAILURES:
             return False
-        return now - doubt.asked_at >= seconds
+        return now - check.asked_at >= seconds
 
-    def start_again(self, now: float) -> None:
-        """Count silence afresh, as this process did not listen itself."""
-        for doubt in self._doubts.values():
-            doubt.asked_at, doubt.failures = now, 0
+    def reset(self, now: float) -> None:
+        """Restart all checks: this process was paused and could not read answers."""
+        for check in self._checks.values():
+            check.asked_at, check.failures = now, 0
--- a/libraries/membership/tarragonward_membership/loads.py
+++ b/libraries/membership/tarragonward_membership/loads.py
@@ -1,4 +1,4 @@
-"""Keep and pass on the load of targets, newest first, below a byte cap."""
+"""Hold and gossip the load of targets, newest first, within a byte limit."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from tarragonward_core import FrameError
 
 from . import const as c
-from .scales import MAX_STEP, expand, hash_name, quantise
+from .encoding import MAX_STEP, dequantise, hash_name, quantise
 
 __all__ = ["LoadDigest", "LoadReport"]
 
-ENTRY = struct.Struct(">IBBBBBB")
+ENTRY_STRUCT = struct.Struct(">IBBBBBB")
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """A target's load as it was read at reported_at, in monotonic seconds here."""
+    """Load of a target, read at reported_at in this host's monotonic seconds."""
 
     target: str
     free_kv_tokens: int
@@ -31,88 +31,97 @@
 
 
 @dataclass
-class _Held:
+class _HeldReport:
     report: LoadReport
-    sent_near: int = 0
-    sent_far: int = 0
+    times_sent_local: int = 0
+    times_sent_remote: int = 0
 
 
 class LoadDigest:
-    """The newest report of each published target; nothing else is kept."""
+    """The newest load report of each published target."""
 
     def __init__(self) -> None:
-        self._held: dict[int, _Held] = {}
+        self._reports: dict[int, _HeldReport] = {}
         self._names: dict[int, str] = {}
-        self._near: set[int] = set()
+        self._local_targets: set[int] = set()
 
     def set_targets(self, targets: Mapping[str, bool]) -> None:
-        """Say which targets are published, and whether each is in the own domain."""
+        """Set the published targets, and whether each is in the own failure domain."""
         self._names = {hash_name(name): name for name in targets}
-        self._near = {hash_name(name) for name, is_near in targets.items() if is_near}
-        for key in self._held.keys() - self._names.keys():
-            del self._held[key]
+        self._local_targets = {
+            hash_name(name) for name, is_local in targets.items() if is_local
+        }
+        for key in self._reports.keys() - self._names.keys():
+            del self._reports[key]
 
     def record(self, report: LoadReport) -> bool:
-        """Take over a report if it is newer than the one held."""
+        """Store a report if it is newer than the one held; return whether it was."""
         key = hash_name(report.target)
-        held = self._held.get(key)
+        held = self._reports.get(key)
         if key not in self._names or not _is_newer(report, held):
             return False
-        self._held[key] = _Held(report)
+        self._reports[key] = _HeldReport(report)
         return True
 
     def get(self, target: str) -> LoadReport | None:
-        """Return the newest report of a target."""
-        held = self._held.get(hash_name(target))
+        """Return the newest report of a target, or None."""
+        held = self._reports.get(hash_name(target))
         return None if held is None else held.report
 
-    def take(self, max_bytes: int, is_near: bool, now: float) -> bytes:
-        """Return entries for one message to a host of the own or another domain.
+    def encode(self, max_bytes: int, is_local: bool, now: float) -> bytes:
+        """Return the encoded reports for one message to the own or another domain.
 
-        Each report is sent a bounded number of times. To other domains go only the
-        own domain's targets, as theirs are known there better.
+        Each report is sent a bounded number of times. Other domains only get reports
+        of this domain's targets, as their own hosts have newer ones of the rest.
         """
-        fresh = [
+        due = [
             (key, held)
-            for key, held in self._held.items()
-            if (is_near or key in self._near)
-            and _count_sent(held, is_near) < c.LOAD_TRANSMISSIONS
+            for key, held in self._reports.items()
+            if (is_local or key in self._local_targets)
+            and _get_times_sent(held, is_local) < c.LOAD_TRANSMISSIONS
             and now - held.report.reported_at < c.MAX_LOAD_AGE_SECONDS
         ]
-        fresh.sort(key=lambda item: (_count_sent(item[1], is_near), -_get_time(item)))
-        chosen = fresh[: max_bytes // ENTRY.size]
+        due.sort(
+            key=lambda item: (
+                _get_times_sent(item[1], is_local),
+                -_get_reported_at(item),
+            )
+        )
+        chosen = due[: max_bytes // ENTRY_STRUCT.size]
         for _, held in chosen:
-            if is_near:
-                held.sent_near += 1
+            if is_local:
+                held.times_sent_local += 1
             else:
-                held.sent_far += 1
+                held.times_sent_remote += 1
         return b"".join(_pack(key, held.report, now) for key, held in chosen)
 
     def merge(self, data: bytes, now: float) -> None:
-        """Take over the entries of a message; raise FrameError if it holds others."""
-        if len(data) % ENTRY.size:
-            raise FrameError(f"a load digest of {len(data)} bytes")
-        for key, free, queued, running, age, long, rate in ENTRY.iter_unpack(data):
+        """Merge the reports of a message; raise FrameError if it is malformed."""
+        if len(data) % ENTRY_STRUCT.size:
+            raise FrameError(f"malformed load digest: {len(data)} bytes")
+        for key, free, queued, running, age, long, rate in ENTRY_STRUCT.iter_unpack(
+            data
+        ):
             name = self._names.get(key)
             if name is not None:
                 reported_at = now - age * c.AGE_STEP_SECONDS
                 self.record(
                     LoadReport(
                         name,
-                        int(expand(free)),
-                        int(expand(queued)),
-                        round(expand(running)),
+                        int(dequantise(free)),
+                        int(dequantise(queued)),
+                        round(dequantise(running)),
                         reported_at,
-                        int(expand(long)),
-                        int(expand(rate)),
+                        int(dequantise(long)),
+                        int(dequantise(rate)),
                     )
                 )
 
 
 def _pack(key: int, report: LoadReport, now: float) -> bytes:
-    # Rounded up, so that a report never grows younger on its way.
+    # Rounded up, so that a report never appears younger at the receiver.
     age = math.ceil((now - report.reported_at) / c.AGE_STEP_SECONDS)
-    return ENTRY.pack(
+    return ENTRY_STRUCT.pack(
         key,
         quantise(report.free_kv_tokens),
         quantise(report.queued_prefill_tokens),
@@ -123,17 +132,17 @@
     )
 
 
-def _is_newer(report: LoadReport, held: _Held | None) -> bool:
-    # The way takes time that the age does not count, so a report that comes back
-    # looks a little newer. Symptom: it goes round for ever. A margin above the way's
-    # usual length ends that.
+def _is_newer(report: LoadReport, held: _HeldReport | None) -> bool:
+    # The age in a message does not include its transit time, so a report that comes
+    # back from a peer appears slightly newer and would circulate forever. The margin
+    # exceeds the usual transit time.
     margin = c.AGE_MARGIN_SECONDS
     return held is None or report.reported_at > held.report.reported_at + margin
 
 
-def _count_sent(held: _Held, is_near: bool) -> int:
-    return held.sent_near if is_near else held.sent_far
+def _get_times_sent(held: _HeldReport, is_local: bool) -> int:
+    return held.times_sent_local if is_local else held.times_sent_remote
 
 
-def _get_time(item: tuple[int, _Held]) -> float:
+def _get_reported_at(item: tuple[int, _HeldReport]) -> float:
     return item[1].report.reported_at
--- a/libraries/membership/tarragonward_membership/members.py
+++ b/libraries/membership/tarragonward_membership/members.py
@@ -1,4 +1,4 @@
-"""Keep what is known of each other host, and who of them counts as there."""
+"""Keep the known state of the other hosts, and tell which are available."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from . import const as c
 from .messages import ListedHost, Member, MemberRecord, MemberState, RecordState
 
-__all__ = ["NOT_THERE", "KnownHost", "Members"]
+__all__ = ["UNAVAILABLE_STATES", "KnownHost", "Members"]
 
-NOT_THERE = (MemberState.DEAD, MemberState.LEAVING)
-STATES = {
+UNAVAILABLE_STATES = (MemberState.DEAD, MemberState.LEAVING)
+MEMBER_STATES = {
     RecordState.ALIVE: MemberState.ALIVE,
     RecordState.LEAVING: MemberState.LEAVING,
     RecordState.SUSPECT: MemberState.SUSPECT,
@@ -23,10 +23,10 @@
 
 @dataclass
 class KnownHost:
-    """One address: its entry in the host list, and the newest record of it.
+    """A host's entry in the host list and its newest record, kept by address.
 
-    record is None until the host was heard of; is_unreachable then tells that it
-    did not answer either. suspect_until is when a suspicion turns into death.
+    record is None until a first record arrives; until then is_unreachable says that a
+    probe of the listed host failed. A suspected host is declared dead at suspect_until.
     """
 
     address: Address
@@ -40,9 +40,9 @@
 
     @property
     def state(self) -> MemberState:
-        """Return what this host believes of the other."""
+        """Return the host's state as seen by this host."""
         if self.record is not None:
-            state = STATES[self.record.state]
+            state = MEMBER_STATES[self.record.state]
         elif self.is_unreachable:
             state = MemberState.DEAD
         else:
@@ -54,16 +54,16 @@
 
     @property
     def is_dead(self) -> bool:
-        """Return whether it is not there, as far as this host can tell."""
+        """Return whether the host is considered dead."""
         return self.state is MemberState.DEAD
 
     @property
-    def is_heard(self) -> bool:
-        """Return whether it was heard of and is not dead."""
+    def is_live(self) -> bool:
+        """Return whether a record of the host arrived and it is not considered dead."""
         return self.record is not None and not self.is_dead
 
     def build_member(self) -> Member:
-        """Return what others are shown of it."""
+        """Return the public view of the host."""
         listed = self.listed or ListedHost(
             str(self.address), self.address, self.failure_domain, self.region, False
         )
@@ -72,7 +72,7 @@
 
 
 class Members:
-    """All other hosts, by address: those listed, and a bounded number of others."""
+    """All other hosts by address: the listed ones and a bounded number of others."""
 
     def __init__(self, own: Address) -> None:
         self._own = own
@@ -85,15 +85,16 @@
         return iter(self._hosts.values())
 
     def get(self, address: Address) -> KnownHost | None:
-        """Return what is known of an address."""
+        """Return the host at an address, or None if it is unknown."""
         return self._hosts.get(address)
 
     def apply_list(self, hosts: tuple[ListedHost, ...], now: float) -> None:
-        """Take over a host list.
+        """Apply a host list.
 
-        A lagging list leaves out hosts that are there. Symptom: they vanish from the
-        view, come back with the next list, and watchers change hands each time. A
-        host that was heard of is therefore kept, unlisted, until it falls silent.
+        A list that is out of date may lack hosts that are running. Were they removed,
+        they would disappear and return with the next list, and the watchers of targets
+        would change each time. So a host that has a record is kept as unlisted until
+        it has been silent for UNLISTED_RETENTION_SECONDS.
         """
         listed = {h.address: h for h in hosts if h.address != self._own}
         for address, entry in listed.items():
@@ -106,38 +107,40 @@
                 host.listed = None
                 if host.record is None:
                     del self._hosts[address]
-        self.forget_silent(now)
+        self.remove_stale(now)
 
     def add_unlisted(self, address: Address, now: float) -> KnownHost | None:
-        """Return a new entry for a host that is heard but not listed, if it fits."""
+        """Add an unlisted host; return None for this host or beyond the limit."""
         unlisted = sum(host.listed is None for host in self)
         if address == self._own or unlisted >= c.MAX_UNLISTED_MEMBERS:
             return None
         host = self._hosts[address] = KnownHost(address, last_seen_at=now)
         return host
 
-    def forget_silent(self, now: float) -> None:
-        """Drop unlisted hosts that nothing new was heard of for long."""
+    def remove_stale(self, now: float) -> None:
+        """Remove unlisted hosts without a new record for UNLISTED_RETENTION_SECONDS."""
         for address, host in list(self._hosts.items()):
-            silent = now - host.last_seen_at > c.FORGET_UNLISTED_SECONDS
-            if host.listed is None and silent:
+            is_stale = now - host.last_seen_at > c.UNLISTED_RETENTION_SECONDS
+            if host.listed is None and is_stale:
                 del self._hosts[address]
 
-    def get_there(self, failure_domain: str) -> list[Address]:
-        """Return the listed hosts of a domain that are not known to be gone.
+    def get_available(self, failure_domain: str) -> list[Address]:
+        """Return the hosts of a domain that are neither dead nor leaving.
 
-        A host that was not heard of yet counts: at a start nobody was.
+        A listed host without a record counts as available, because no records have
+        arrived yet when this host starts.
         """
         return [
             host.address
             for host in self
-            if host.failure_domain == failure_domain and host.state not in NOT_THERE
+            if host.failure_domain == failure_domain
+            and host.state not in UNAVAILABLE_STATES
         ]
 
     def get_domains(self) -> set[str]:
-        """Return the failure domains of all listed hosts."""
+        """Return the failure domains of all known hosts."""
         return {host.failure_domain for host in self if host.failure_domain}
 
-    def count_heard(self) -> int:
-        """Return how many other hosts were heard of and are not dead."""
-        return sum(host.is_heard for host in self)
+    def count_live(self) -> int:
+        """Return the number of other hosts that have a record and are not dead."""
+        return sum(host.is_live for host in self)
--- a/libraries/membership/tarragonward_membership/membership.py
+++ b/libraries/membership/tarragonward_membership/membership.py
@@ -1,4 +1,4 @@
-"""Decide who is there: the host list says who should be, gossip finds out who is."""
+"""Decide which hosts are up, by host list, SWIM-style probes and gossip."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 from . import const as c
 from .demands import DemandDigest
-from .doubts import Doubts
+from .doubts import UnconfirmedIncarnations
 from .loads import LoadDigest
-from .members import NOT_THERE, KnownHost, Members
+from .members import UNAVAILABLE_STATES, KnownHost, Members
 from .messages import (
     Effect,
     Event,
@@ -38,8 +38,8 @@
     Tick,
 )
 from .probing import ProbeSchedule, get_round_seconds, get_suspicion_seconds
-from .rumours import Rumours, measure_record
-from .sightings import Sightings
+from .sightings import IncarnationHistory
+from .update_queue import UpdateQueue, get_record_size
 from .watchers import choose_hosts
 
 __all__ = ["Membership"]
@@ -54,7 +54,10 @@
 
 
 class Membership:
-    """Hold this host's view of the others: a hint, never ground for a promise."""
+    """View of the other hosts, kept by gossip.
+
+    The view is a hint that may be out of date; no guarantee may depend on it.
+    """
 
     def __init__(
         self,
@@ -71,13 +74,13 @@
         self._schedule = ProbeSchedule(
             identity.address, failure_domain, region, self._rng
         )
-        self.rumours = Rumours()
-        self._sightings = Sightings()
-        self._probes: dict[int, _Probe] = {}
-        self._probe_number = 0
-        self._doubts = Doubts()
-        self._watched: dict[str, bool] = {}
-        self._listed: tuple[ListedHost, ...] = ()
+        self.update_queue = UpdateQueue()
+        self._incarnations = IncarnationHistory()
+        self._pending_probes: dict[int, _Probe] = {}
+        self._last_probe_id = 0
+        self._unconfirmed = UnconfirmedIncarnations()
+        self._is_watcher_by_target: dict[str, bool] = {}
+        self._host_list: tuple[ListedHost, ...] = ()
         self._suspects: set[Address] = set()
         self._rotation: list[Address] = []
         self._last_tick: float | None = None
@@ -88,78 +91,84 @@
         self.loads = LoadDigest()
         self.demands = DemandDigest(identity.address, failure_domain)
 
-    # What others ask.
+    # Queries.
 
     def get_members(self) -> list[Member]:
-        """Return all other hosts that are listed or were heard of."""
+        """Return all other hosts that are listed or have a record."""
         return [host.build_member() for host in self._members]
 
     def count_live_hosts(self) -> int:
-        """Return how many hosts are there, this one with them."""
-        return 1 + self._members.count_heard()
+        """Return the number of live hosts, including this one."""
+        return 1 + self._members.count_live()
 
     def is_watcher(self, target_name: str, failure_domain: str) -> bool:
-        """Return whether this host is one of the few of the domain for a target.
+        """Return whether this host is one of the WATCHERS_PER_TARGET of a target.
 
-        Where a domain has no host left, hosts of all others take its targets over.
+        The hosts of the target's failure domain watch it; if none is available there,
+        live hosts of the other domains take over.
         """
-        if target_name not in self._watched:
+        if target_name not in self._is_watcher_by_target:
             own = self.identity.address
-            hosts = self._get_watching_hosts(failure_domain)
-            watchers = choose_hosts(f"target {target_name}", hosts, c.TARGET_WATCHERS)
-            self._watched[target_name] = own in watchers
-        return self._watched[target_name]
+            hosts = self._get_watcher_candidates(failure_domain)
+            watchers = choose_hosts(
+                f"target {target_name}", hosts, c.WATCHERS_PER_TARGET
+            )
+            self._is_watcher_by_target[target_name] = own in watchers
+        return self._is_watcher_by_target[target_name]
 
-    def _get_watching_hosts(self, failure_domain: str) -> list[Address]:
-        there = self._members.get_there(failure_domain)
+    def _get_watcher_candidates(self, failure_domain: str) -> list[Address]:
+        available = self._members.get_available(failure_domain)
         if failure_domain == self.failure_domain:
-            return [*there, self.identity.address]
-        if there:
-            return there
-        heard = [host.address for host in self._members if host.is_heard]
-        return [*heard, self.identity.address]
+            return [*available, self.identity.address]
+        if available:
+            return available
+        live = [host.address for host in self._members if host.is_live]
+        return [*live, self.identity.address]
 
     def is_gone(self, identity: HostIdentity, now: float) -> bool:
-        """Return whether that life of a host is over, as far as this host can tell.
+        """Return whether an incarnation of a host has ended, as far as is known here.
 
-        True only where it was declared dead after suspicion, or another incarnation
-        has answered at its address since. A life never heard of is probed, and the
-        answer is known some seconds later.
+        It counts as ended if it was declared dead after suspicion, if another
+        incarnation has since answered at its address, or if it has no record and its
+        address does not answer probes for the suspicion time. The first call for an
+        incarnation without a record starts these probes.
         """
-        if identity == self.identity or self._was_frozen(now):
+        if identity == self.identity or self._was_paused(now):
             return False
         address = identity.address
         if address == self.identity.address:
             return True
-        if self._sightings.is_over(address, identity.incarnation):
+        if self._incarnations.has_ended(address, identity.incarnation):
             return True
         host = self._members.get(address)
         if host is not None and host.record is not None:
             if host.record.identity == identity:
                 return host.is_dead
-        self._sightings.note(address, identity.incarnation, now)
-        self._doubts.add(identity, now)
-        return self._doubts.is_silent(identity, self._get_suspicion_seconds(), now)
+        self._incarnations.record(address, identity.incarnation, now)
+        self._unconfirmed.add(identity, now)
+        return self._unconfirmed.is_silent(identity, self._get_suspicion_seconds(), now)
 
     def get_demand(self, now: float) -> dict[str, float]:
-        """Return tokens a second by client account on the other live hosts."""
-        live = [host for host in self._members if host.is_heard]
+        """Return the demand on other live hosts in tokens per second by account."""
+        live = [host for host in self._members if host.is_live]
         addresses = {host.address for host in live}
         domains = {host.failure_domain for host in live}
-        near = sum(host.failure_domain == self.failure_domain for host in live)
-        is_large = len(self._members) >= c.LARGE_FLEET_HOSTS
-        return self.demands.get_demand(addresses, domains, now, near if is_large else 0)
+        local_hosts = sum(host.failure_domain == self.failure_domain for host in live)
+        is_large_fleet = len(self._members) >= c.LARGE_FLEET_HOSTS
+        return self.demands.get_demand(
+            addresses, domains, now, local_hosts if is_large_fleet else 0
+        )
 
     def set_leaving(self) -> None:
-        """Tell the others that this host drains."""
+        """Announce that this host is draining."""
         self._raise_version(self._own.version + 1, RecordState.LEAVING)
 
-    # What happens.
+    # Events.
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take an event and return what is to be done; now in monotonic seconds."""
+        """Handle an event and return its effects; now is in monotonic seconds."""
         self._effects = []
-        self._notice_freeze(now)
+        self._handle_process_pause(now)
         _handle(event, self, now)
         invariants.check(
             self._own.identity == self.identity
@@ -171,17 +180,23 @@
         return effects
 
     def build_gossip(self, address: Address, now: float) -> Gossip:
-        """Return what this host says to a peer now."""
-        is_large = len(self._members) >= c.LARGE_FLEET_HOSTS
-        spare = c.MAX_DIGESTS_BYTES if is_large else c.MAX_DIGESTS_BYTES_SMALL
-        demand_bytes = c.MAX_DEMANDS_BYTES if is_large else c.MAX_DEMANDS_BYTES_SMALL
-        belief = self._members.get(address)
-        record = belief.record if belief is not None else None
-        domain = belief.failure_domain if belief is not None else ""
-        is_near = domain == self.failure_domain
+        """Return the message for a probe of a peer, or for the answer to its probe."""
+        is_large_fleet = len(self._members) >= c.LARGE_FLEET_HOSTS
+        spare_bytes = (
+            c.MAX_DIGESTS_BYTES if is_large_fleet else c.MAX_DIGESTS_BYTES_SMALL
+        )
+        demand_bytes = (
+            c.MAX_DEMANDS_BYTES if is_large_fleet else c.MAX_DEMANDS_BYTES_SMALL
+        )
+        receiver = self._members.get(address)
+        record = receiver.record if receiver is not None else None
+        domain = receiver.failure_domain if receiver is not None else ""
+        is_local = domain == self.failure_domain
         records = self._choose_records(address)
-        demands = self.demands.take(demand_bytes, is_near, now)
-        spare -= sum(measure_record(r) for r in records) + len(msgpack.packb(demands))
+        demands = self.demands.encode(demand_bytes, is_local, now)
+        spare_bytes -= sum(get_record_size(r) for r in records) + len(
+            msgpack.packb(demands)
+        )
         return Gossip(
             incarnation=self.identity.incarnation,
             version=self._own.version,
@@ -190,63 +205,65 @@
             configuration_sequence=self.configuration_sequence,
             receiver_record=() if record is None else record.pack(),
             records=tuple(r.pack() for r in records),
-            loads=self.loads.take(max(spare, 0), is_near, now),
+            loads=self.loads.encode(max(spare_bytes, 0), is_local, now),
             demands=demands,
         )
 
     # Rounds.
 
     def _start_round(self, now: float) -> None:
-        # Spread by a random part, so that hosts started together don't keep step.
-        length = get_round_seconds(len(self._members) + 1)
-        self._next_round = now + length * self._rng.uniform(0.8, 1.2)
-        self._members.forget_silent(now)
-        for address in self._schedule.choose(self._members):
+        # Jitter keeps hosts that started together from probing in lockstep.
+        round_seconds = get_round_seconds(len(self._members) + 1)
+        self._next_round = now + round_seconds * self._rng.uniform(0.8, 1.2)
+        self._members.remove_stale(now)
+        for address in self._schedule.choose_probes(self._members):
             self._probe(address, now)
 
     def _probe(self, address: Address, now: float) -> None:
-        self._probe_number += 1
+        self._last_probe_id += 1
         deadline = now + c.PROBE_TIMEOUT_SECONDS
-        self._probes[self._probe_number] = _Probe(address, now, deadline)
+        self._pending_probes[self._last_probe_id] = _Probe(address, now, deadline)
         message = self.build_gossip(address, now)
-        self._effects.append(SendProbe(self._probe_number, address, message))
+        self._effects.append(SendProbe(self._last_probe_id, address, message))
 
     def _expire_probes(self, now: float) -> None:
-        for number, probe in list(self._probes.items()):
+        for probe_id, probe in list(self._pending_probes.items()):
             if now < probe.deadline:
                 continue
             if probe.is_indirect:
-                del self._probes[number]
-                self._suspect(probe, now)
+                del self._pending_probes[probe_id]
+                self._handle_probe_failure(probe, now)
             else:
-                self._ask_helpers(number, probe, now)
+                self._request_indirect_probes(probe_id, probe, now)
 
-    def _ask_helpers(self, number: int, probe: _Probe, now: float) -> None:
-        """Let others try: one broken path is no death."""
+    def _request_indirect_probes(
+        self, probe_id: int, probe: _Probe, now: float
+    ) -> None:
+        """Ask other hosts to probe it: only the path from this host may be broken."""
         probe.is_indirect = True
         probe.deadline = now + c.INDIRECT_TIMEOUT_SECONDS
         host = self._members.get(probe.address)
         is_dead = host is None or host.is_dead
-        if is_dead and not self._doubts.is_asked(probe.address):
+        if is_dead and not self._unconfirmed.has_address(probe.address):
             return
         for helper in self._schedule.choose_helpers(self._members, probe.address):
-            self._effects.append(RequestIndirectProbe(number, helper, probe.address))
+            self._effects.append(RequestIndirectProbe(probe_id, helper, probe.address))
 
-    def _suspect(self, probe: _Probe, now: float) -> None:
-        self._doubts.note_failure(probe.address, probe.sent_at)
+    def _handle_probe_failure(self, probe: _Probe, now: float) -> None:
+        self._unconfirmed.record_failure(probe.address, probe.sent_at)
         host = self._members.get(probe.address)
         if host is None:
             return
         if host.record is None:
             old_state, host.is_unreachable = host.state, True
-            self._note_watchers_changed(host, old_state)
+            self._invalidate_watchers(host, old_state)
             return
         if (
             host.last_seen_at > probe.sent_at
             or host.record.state >= RecordState.SUSPECT
         ):
             return
-        self._take_record(_restate(host.record, RecordState.SUSPECT), now)
+        self._apply_record(_with_state(host.record, RecordState.SUSPECT), now)
 
     def _expire_suspicions(self, now: float) -> None:
         for address in list(self._suspects):
@@ -266,17 +283,17 @@
         )
         if record is None:
             return
-        # Nobody takes another's word for a death. A host that was cut off declares
-        # everybody dead; were it believed, live hosts would be dead to all until each
-        # had refuted. What is passed on counts as suspicion, and each host waits for
-        # itself whether it is refuted.
-        self.rumours.discard(host.address)
-        self._replace(host, _restate(record, RecordState.DEAD))
-
-    def _beat(self, now: float) -> None:
-        """Raise the own version, by which hosts that took it for dead learn better."""
+        # Deaths are not gossiped. A host that was partitioned declares all others dead;
+        # if its records were believed, live hosts would count as dead everywhere until
+        # each had refuted. A received DEAD record counts as a suspicion, and every host
+        # waits out the suspicion time itself.
+        self.update_queue.discard(host.address)
+        self._set_record(host, _with_state(record, RecordState.DEAD))
+
+    def _update_heartbeat(self, now: float) -> None:
+        """Raise the own version, which corrects hosts that consider this one dead."""
         hosts = len(self._members) + 1
-        period = max(hosts * c.HEARTBEAT_SECONDS_A_HOST, c.MIN_HEARTBEAT_SECONDS)
+        period = max(hosts * c.HEARTBEAT_SECONDS_PER_HOST, c.MIN_HEARTBEAT_SECONDS)
         self._next_heartbeat = now + period * self._rng.uniform(0.8, 1.2)
         self._raise_version(self._own.version + 1, self._own.state)
 
@@ -286,19 +303,22 @@
         )
         self._own = MemberRecord(self.identity, version, state)
 
-    # A pause of this process.
+    # Process pauses.
 
-    def _was_frozen(self, now: float) -> bool:
-        return self._last_tick is not None and now - self._last_tick > c.FREEZE_SECONDS
+    def _was_paused(self, now: float) -> bool:
+        return (
+            self._last_tick is not None
+            and now - self._last_tick > c.PROCESS_PAUSE_SECONDS
+        )
 
-    def _notice_freeze(self, now: float) -> None:
-        # A paused process wakes with all probes overdue. Symptom: it declares every
-        # other host dead, though it was itself that did not listen. Dropping the
-        # probes and starting suspicions afresh is enough, as nothing else here
-        # measures the others' silence.
-        if self._was_frozen(now):
-            self._probes.clear()
-            self._doubts.start_again(now)
+    def _handle_process_pause(self, now: float) -> None:
+        # A paused process resumes with all probes overdue and would declare every other
+        # host dead, although it did not read their answers itself. Dropping the probes
+        # and restarting the suspicion timers is enough: nothing else here measures how
+        # long the others have been silent.
+        if self._was_paused(now):
+            self._pending_probes.clear()
+            self._unconfirmed.reset(now)
             for address in self._suspects:
                 host = self._members.get(address)
                 if host is not None:
@@ -307,16 +327,18 @@
 
     # Records.
 
-    def _take_direct(self, record: MemberRecord, domain: str, now: float) -> None:
-        host = self._take_record(record, now)
+    def _apply_direct_record(
+        self, record: MemberRecord, domain: str, now: float
+    ) -> None:
+        host = self._apply_record(record, now)
         if host is None:
             return
         host.last_seen_at = now
         if host.listed is None and domain:
             host.failure_domain = domain
 
-    def _take_record(self, record: MemberRecord, now: float) -> KnownHost | None:
-        """Take over a record if it is newer than the one held."""
+    def _apply_record(self, record: MemberRecord, now: float) -> KnownHost | None:
+        """Apply a record if it takes precedence over the one held."""
         address = record.identity.address
         if address == self.identity.address:
             self._refute(record)
@@ -325,20 +347,20 @@
         if host is None:
             host = self._members.add_unlisted(address, now)
         if record.state is RecordState.DEAD:
-            record = _restate(record, RecordState.SUSPECT)
+            record = _with_state(record, RecordState.SUSPECT)
         if host is None or not _is_newer(record, host.record):
             return host
-        self._sightings.note(address, record.identity.incarnation, now)
+        self._incarnations.record(address, record.identity.incarnation, now)
         host.last_seen_at = now
         host.is_unreachable = False
         if record.state is RecordState.SUSPECT:
             host.suspect_until = now + self._get_suspicion_seconds()
             self._suspects.add(address)
-        self._pass_on(host, record)
-        self._replace(host, record)
+        self._enqueue_update(host, record)
+        self._set_record(host, record)
         return host
 
-    def _pass_on(self, host: KnownHost, record: MemberRecord) -> None:
+    def _enqueue_update(self, host: KnownHost, record: MemberRecord) -> None:
         old = host.record
         is_heartbeat = (
             old is not None
@@ -349,38 +371,41 @@
         transmissions = (
             c.HEARTBEAT_TRANSMISSIONS
             if is_heartbeat
-            else c.CHANGE_TRANSMISSIONS_A_DOUBLING * doublings
+            else c.CHANGE_TRANSMISSIONS_PER_DOUBLING * doublings
         )
-        self.rumours.add(record, transmissions, is_heartbeat)
+        self.update_queue.add(record, transmissions, is_heartbeat)
 
-    def _replace(self, host: KnownHost, record: MemberRecord) -> None:
+    def _set_record(self, host: KnownHost, record: MemberRecord) -> None:
         old_state = host.state
         host.record = record
         if host.state is not old_state:
-            self._note_watchers_changed(host, old_state)
+            self._invalidate_watchers(host, old_state)
             self._effects.append(
                 MemberChanged(record.identity, host.address, old_state, host.state)
             )
 
-    def _note_watchers_changed(self, host: KnownHost, old_state: MemberState) -> None:
-        """Choose watchers anew, but only where hosts came or went: it is dear."""
-        was_there = old_state not in NOT_THERE
-        if was_there == (host.state not in NOT_THERE):
+    def _invalidate_watchers(self, host: KnownHost, old_state: MemberState) -> None:
+        """Clear the cached watchers if a host became available or unavailable.
+
+        Choosing watchers again is expensive, so other changes keep the cache.
+        """
+        was_available = old_state not in UNAVAILABLE_STATES
+        if was_available == (host.state not in UNAVAILABLE_STATES):
             return
-        is_near = host.failure_domain == self.failure_domain
-        if is_near or len(self._members.get_there(host.failure_domain)) <= 1:
-            self._watched.clear()
+        is_local = host.failure_domain == self.failure_domain
+        if is_local or len(self._members.get_available(host.failure_domain)) <= 1:
+            self._is_watcher_by_target.clear()
 
     def _refute(self, record: MemberRecord) -> None:
-        """Rise above what is said of this address, if it is not what is so."""
+        """Exceed the version of a wrong record of this address."""
         if record != self._own and record.precedence >= self._own.precedence:
             self._raise_version(record.version + 1, self._own.state)
 
-    def _take_news(self, peer: Address, message: Gossip, now: float) -> None:
+    def _apply_gossip(self, peer: Address, message: Gossip, now: float) -> None:
         if message.receiver_record:
-            self._take_record(MemberRecord.unpack(message.receiver_record), now)
+            self._apply_record(MemberRecord.unpack(message.receiver_record), now)
         for item in message.records:
-            self._take_record(MemberRecord.unpack(item), now)
+            self._apply_record(MemberRecord.unpack(item), now)
         self.loads.merge(message.loads, now)
         self.demands.merge(message.demands, now)
         if message.configuration_sequence > self.configuration_sequence:
@@ -389,16 +414,16 @@
             )
 
     def _choose_records(self, receiver: Address) -> list[MemberRecord]:
-        """Return rumours, then a few records in turn, so that none is missed."""
-        chosen = self.rumours.take(c.MAX_RECORDS_BYTES, c.MAX_HEARTBEATS_BYTES)
-        spare = c.MAX_HEARTBEATS_BYTES - sum(measure_record(r) for r in chosen)
-        for _ in range(max(spare // c.MAX_RECORD_BYTES, 0)):
-            record = self._take_rotated()
+        """Return queued updates, then records in rotation to repair lost updates."""
+        chosen = self.update_queue.take(c.MAX_RECORDS_BYTES, c.MAX_HEARTBEATS_BYTES)
+        spare_bytes = c.MAX_HEARTBEATS_BYTES - sum(get_record_size(r) for r in chosen)
+        for _ in range(max(spare_bytes // c.MAX_RECORD_BYTES, 0)):
+            record = self._take_next_in_rotation()
             if record is not None and record.identity.address != receiver:
                 chosen.append(record)
         return chosen
 
-    def _take_rotated(self) -> MemberRecord | None:
+    def _take_next_in_rotation(self) -> MemberRecord | None:
         if not self._rotation:
             self._rotation = [host.address for host in self._members if host.record]
             self._rng.shuffle(self._rotation)
@@ -413,27 +438,27 @@
 
 @singledispatch
 def _handle(event: Event, membership: Membership, now: float) -> None:
-    raise TypeError(f"not an event: {event!r}")
+    raise TypeError(f"unknown membership event: {event!r}")
 
 
 @_handle.register
 def _(event: HostListRead, membership: Membership, now: float) -> None:
     membership._members.apply_list(event.hosts, now)
-    # Choosing watchers anew hashes every target with every host; most lists are
-    # read unchanged.
-    if event.hosts != membership._listed:
-        membership._listed = event.hosts
-        membership._watched.clear()
+    # Choosing watchers hashes every target with every host, and most lists that are
+    # read have not changed.
+    if event.hosts != membership._host_list:
+        membership._host_list = event.hosts
+        membership._is_watcher_by_target.clear()
 
 
 @_handle.register
 def _(event: Tick, membership: Membership, now: float) -> None:
     membership._expire_probes(now)
     membership._expire_suspicions(now)
-    for address in membership._doubts.take_due(now):
+    for address in membership._unconfirmed.take_due(now):
         membership._probe(address, now)
     if now >= membership._next_heartbeat:
-        membership._beat(now)
+        membership._update_heartbeat(now)
     if now >= membership._next_round:
         membership._start_round(now)
 
@@ -441,54 +466,58 @@
 @_handle.register
 def _(event: GossipReceived, membership: Membership, now: float) -> None:
     message = event.message
-    membership._sightings.note(event.peer.address, event.peer.incarnation, now)
-    record = _read_sender(event.peer, message)
-    membership._take_direct(record, message.failure_domain, now)
-    membership._take_news(event.peer.address, message, now)
+    membership._incarnations.record(event.peer.address, event.peer.incarnation, now)
+    record = _build_sender_record(event.peer, message)
+    membership._apply_direct_record(record, message.failure_domain, now)
+    membership._apply_gossip(event.peer.address, message, now)
     answer = membership.build_gossip(event.peer.address, now)
     membership._effects.append(SendAnswer(answer))
 
 
 @_handle.register
 def _(event: ProbeAnswered, membership: Membership, now: float) -> None:
-    probe = membership._probes.pop(event.probe_id, None)
+    probe = membership._pending_probes.pop(event.probe_id, None)
     if probe is None:
         return
     message = event.message
     peer = HostIdentity(probe.address, message.incarnation)
-    membership._sightings.note_answer(probe.address, peer.incarnation, probe.sent_at)
-    membership._doubts.note_answer(probe.address)
-    membership._sightings.note(probe.address, peer.incarnation, now)
-    membership._take_direct(_read_sender(peer, message), message.failure_domain, now)
-    membership._take_news(probe.address, message, now)
+    membership._incarnations.record_answer(
+        probe.address, peer.incarnation, probe.sent_at
+    )
+    membership._unconfirmed.record_answer(probe.address)
+    membership._incarnations.record(probe.address, peer.incarnation, now)
+    membership._apply_direct_record(
+        _build_sender_record(peer, message), message.failure_domain, now
+    )
+    membership._apply_gossip(probe.address, message, now)
 
 
 @_handle.register
 def _(event: IndirectProbeAnswered, membership: Membership, now: float) -> None:
-    probe = membership._probes.get(event.probe_id)
+    probe = membership._pending_probes.get(event.probe_id)
     if probe is None or event.record.identity.address != probe.address:
         return
-    del membership._probes[event.probe_id]
-    membership._doubts.note_answer(probe.address)
-    membership._take_direct(event.record, "", now)
+    del membership._pending_probes[event.probe_id]
+    membership._unconfirmed.record_answer(probe.address)
+    membership._apply_direct_record(event.record, "", now)
 
 
 @_handle.register
 def _(event: ProbeFailed, membership: Membership, now: float) -> None:
-    probe = membership._probes.get(event.probe_id)
+    probe = membership._pending_probes.get(event.probe_id)
     if probe is not None and not probe.is_indirect:
-        membership._ask_helpers(event.probe_id, probe, now)
+        membership._request_indirect_probes(event.probe_id, probe, now)
 
 
-def _read_sender(peer: HostIdentity, message: Gossip) -> MemberRecord:
+def _build_sender_record(peer: HostIdentity, message: Gossip) -> MemberRecord:
     try:
         state = RecordState(message.state)
     except ValueError as err:
-        raise FrameError(f"not a member's state: {message.state}") from err
+        raise FrameError(f"unknown member state: {message.state}") from err
     return MemberRecord(peer, message.version, state)
 
 
-def _restate(record: MemberRecord, state: RecordState) -> MemberRecord:
+def _with_state(record: MemberRecord, state: RecordState) -> MemberRecord:
     return MemberRecord(record.identity, record.version, state)
 
 
--- a/libraries/membership/tarragonward_membership/registry.py
+++ b/libraries/membership/tarragonward_membership/registry.py
@@ -1,4 +1,4 @@
-"""Decide which boots of targets may get work, from records that may come late."""
+"""Decide which boots of targets may get work, from records that may be delayed."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 __all__ = ["RegisteredTarget", "TargetRegistry", "WithdrawnTarget", "build_boot_id"]
 
-# How many withdrawn names are remembered, so that a late record brings none back.
-MAX_WITHDRAWN = 4_096
-# How many boots that another one of the same name has followed are remembered.
-MAX_ENDED = 4_096
-# Digits of base 36 that tell the boots of one name apart, where all hosts name them.
-# Starts whose times differ by a multiple of 28 minutes get the same ones; by then all
-# that was known of the earlier one has aged out, at 30 s at most.
-TAG_VALUES = 36**4
+# Withdrawn names to remember, so that a delayed record does not restore a target.
+MAX_WITHDRAWN_NAMES = 4_096
+# Boots to remember that were superseded by a later boot of the same name.
+MAX_SUPERSEDED_BOOTS = 4_096
+# Four base-36 digits tell the boots of a name apart in the messages of all hosts. Boots
+# whose start times differ by a multiple of 28 minutes share a tag, but by then all that
+# hosts knew of the earlier one has expired, which takes at most 30 s.
+BOOT_TAG_VALUES = 36**4
 
 
 def build_boot_id(name: str, incarnation: int | None) -> str:
-    """Return the id of one boot of a target; short, as peers tell it in each round."""
+    """Return the id of a boot; it is short, as peers send it in each gossip round."""
     if incarnation is None:
         return name
-    return f"{name}.{_write_base36(incarnation % TAG_VALUES)}"
+    return f"{name}.{_format_base36(incarnation % BOOT_TAG_VALUES)}"
 
 
-def _write_base36(number: int) -> str:
+def _format_base36(number: int) -> str:
     digits = ""
     while number:
         number, digit = divmod(number, 36)
@@ -38,11 +38,12 @@
 
 @dataclass(frozen=True)
 class RegisteredTarget:
-    """One boot of a target as registered; revision orders what is said of it.
+    """A boot of a target as registered; revision orders the records of a name.
 
-    id is the boot's own: what is known of a target is kept by it, so nothing of one
-    boot is ever taken for another's. name is what all its boots register under, the
-    id where no other is given; incarnation tells them apart where the target tells it.
+    id identifies the boot. Whatever is known of a target is kept by id, so the state of
+    one boot is never taken for that of another. name is shared by all boots of the
+    target and defaults to the id. incarnation identifies the boot if the target
+    publishes it.
     """
 
     id: str
@@ -57,38 +58,40 @@
     incarnation: int | None = None
 
     def __post_init__(self) -> None:
-        """Name a target whose boots are not told apart by its id."""
+        """Default the name to the id."""
         if not self.name:
             object.__setattr__(self, "name", self.id)
 
 
 @dataclass(frozen=True)
 class WithdrawnTarget:
-    """A target that is registered no more, whichever boot of it was."""
+    """The withdrawal of a target, whichever boot of it was registered."""
 
     name: str
     revision: int
 
 
 class TargetRegistry:
-    """The newest record of each target; one older than that known changes nothing.
+    """The newest record of each target; older records are ignored.
 
-    Records from the store and from peers may be taken in any order: their revisions
-    order them. Not so the boots of a target: a record that an earlier boot wrote may
-    reach the store after the newer one's, and the times of two starts can't be
-    compared, as a target's clock may be wrong. Symptom: the engine that runs is left
-    for one that is gone. So a boot that another one has followed is over for good.
+    Records from the store and from peers may be applied in any order, as revisions
+    order them. Revisions don't order the boots of a target: a record written by an
+    earlier boot may reach the store after that of its successor, and start times can't
+    be compared, as the clock of a target may be wrong. Either could replace a running
+    engine by one that has ended. So a superseded boot is never accepted again.
     """
 
     def __init__(self) -> None:
         self._targets: dict[str, RegisteredTarget] = {}
         self._withdrawn: OrderedDict[str, int] = OrderedDict()
-        # The last boot of names that were withdrawn, and all that were followed.
-        self._last: OrderedDict[str, int | None] = OrderedDict()
-        self._ended: OrderedDict[tuple[str, int | None], None] = OrderedDict()
-        # Both are built anew after a change, when they are asked for.
+        # The last boot of each name, also of withdrawn ones, and the superseded boots.
+        self._last_boots: OrderedDict[str, int | None] = OrderedDict()
+        self._superseded_boots: OrderedDict[tuple[str, int | None], None] = (
+            OrderedDict()
+        )
+        # Caches, cleared by each change and rebuilt on demand.
         self._by_service: dict[str, tuple[RegisteredTarget, ...]] = {}
-        self._holders: dict[Address, RegisteredTarget] = {}
+        self._address_holders: dict[Address, RegisteredTarget] = {}
         self._services: frozenset[str] | None = None
         self.revision = 0
 
@@ -96,28 +99,32 @@
         return len(self._targets)
 
     def set_services(self, names: Iterable[str]) -> None:
-        """Take the services that there are: others' records hold no address."""
+        """Set the existing services; a record of another service claims no address."""
         self._services = frozenset(names)
-        self._forget_built()
+        self._clear_caches()
 
     def apply(self, record: RegisteredTarget | WithdrawnTarget) -> bool:
-        """Take a record in; return whether it changed what is known."""
+        """Apply a record; return whether it changed the known targets."""
         if record.revision <= self._get_revision(record.name):
             return False
         self.revision = max(self.revision, record.revision)
         if isinstance(record, WithdrawnTarget):
             return self._withdraw(record)
-        if (record.name, record.incarnation) in self._ended:
+        if (record.name, record.incarnation) in self._superseded_boots:
             return False
-        self._end_earlier(record)
+        self._supersede_earlier_boot(record)
         self._withdrawn.pop(record.name, None)
         self._targets[record.name] = record
-        _remember(self._last, record.name, record.incarnation, MAX_WITHDRAWN)
-        self._forget_built()
+        _remember(
+            self._last_boots, record.name, record.incarnation, MAX_WITHDRAWN_NAMES
+        )
+        self._clear_caches()
         return True
 
-    def apply_all(self, records: Iterable[RegisteredTarget], revision: int) -> None:
-        """Take in a whole reading at a revision: what it lacks was withdrawn."""
+    def apply_snapshot(
+        self, records: Iterable[RegisteredTarget], revision: int
+    ) -> None:
+        """Apply all records as of a revision; withdraw the targets that they lack."""
         listed = list(records)
         for record in listed:
             self.apply(record)
@@ -132,8 +139,8 @@
         return self._targets.get(name)
 
     def is_current_boot(self, target: RegisteredTarget) -> bool:
-        """Return whether no other boot of the target has followed this one."""
-        return (target.name, target.incarnation) not in self._ended
+        """Return whether no later boot of the target has superseded this one."""
+        return (target.name, target.incarnation) not in self._superseded_boots
 
     def get_all(self) -> tuple[RegisteredTarget, ...]:
         """Return all registered boots."""
@@ -153,36 +160,38 @@
         return self._by_service[service]
 
     def _holds_address(self, target: RegisteredTarget) -> bool:
-        # A boot that crashed stays registered until its record lapses, seconds later,
-        # and its address may be another boot's by then. Symptom: being idle it is
-        # chosen first, the other one refuses as misdirected, and two such refusals use
-        # up a request's attempts. An address is given on only after its boot has ended,
-        # and a boot that ended writes no more, so the newest record tells who is there.
-        # A record of a service that there is not tells of nobody: any writer may have
-        # left it.
-        if not self._holders:
+        # A crashed boot stays registered until its record expires, seconds later, and
+        # its address may belong to another boot by then. Being idle, the crashed boot
+        # would be chosen first, the new boot would refuse the request as misdirected,
+        # and two such refusals use up a request's attempts. An address is reused only
+        # after its boot has ended, and an ended boot writes no records, so the newest
+        # record at an address is the current one. Records of unknown services are
+        # ignored, as any writer may have left them.
+        if not self._address_holders:
             for each in self._targets.values():
                 if self._services is not None and each.service not in self._services:
                     continue
-                holder = self._holders.get(each.address)
+                holder = self._address_holders.get(each.address)
                 if holder is None or each.revision > holder.revision:
-                    self._holders[each.address] = each
-        return self._holders.get(target.address, target) is target
+                    self._address_holders[each.address] = each
+        return self._address_holders.get(target.address, target) is target
 
-    def _end_earlier(self, record: RegisteredTarget) -> None:
-        known = self._last.get(record.name, record.incarnation)
+    def _supersede_earlier_boot(self, record: RegisteredTarget) -> None:
+        known = self._last_boots.get(record.name, record.incarnation)
         if known != record.incarnation:
-            _remember(self._ended, (record.name, known), None, MAX_ENDED)
+            _remember(
+                self._superseded_boots, (record.name, known), None, MAX_SUPERSEDED_BOOTS
+            )
 
     def _withdraw(self, record: WithdrawnTarget) -> bool:
-        _remember(self._withdrawn, record.name, record.revision, MAX_WITHDRAWN)
+        _remember(self._withdrawn, record.name, record.revision, MAX_WITHDRAWN_NAMES)
         gone = self._targets.pop(record.name, None)
-        self._forget_built()
+        self._clear_caches()
         return gone is not None
 
-    def _forget_built(self) -> None:
+    def _clear_caches(self) -> None:
         self._by_service.clear()
-        self._holders.clear()
+        self._address_holders.clear()
 
     def _get_revision(self, name: str) -> int:
         target = self._targets.get(name)
@@ -191,9 +200,9 @@
         return self._withdrawn.get(name, 0)
 
 
-def _remember(known: OrderedDict[Any, Any], key: Any, value: Any, most: int) -> None:
-    """Keep an item as the newest one, and drop the oldest beyond a number."""
+def _remember(known: OrderedDict[Any, Any], key: Any, value: Any, limit: int) -> None:
+    """Store an item as the newest, and remove the oldest ones beyond the limit."""
     known[key] = value
     known.move_to_end(key)
-    while len(known) > most:
+    while len(known) > limit:
         known.popitem(last=False)
--- a/libraries/membership/tarragonward_membership/sightings.py
+++ b/libraries/membership/tarragonward_membership/sightings.py
@@ -1,4 +1,4 @@
-"""Tell which lives of an address are over, from what answered there afterwards."""
+"""Track the incarnations seen at each address, and which of them have ended."""
 
 from __future__ import annotations
 
@@ -8,42 +8,46 @@
 
 from . import const as c
 
-__all__ = ["Sightings"]
+__all__ = ["IncarnationHistory"]
 
 
-class Sightings:
-    """When each incarnation was first heard of, and which are over; bounded.
+class IncarnationHistory:
+    """When each incarnation was first heard of, and which have ended; bounded.
 
-    Records of different lives have no order in time that this host could trust: a
-    late rumour of the old life may come after the new one. An answer has: whoever
-    answers a probe lives after the probe was sent, so any other incarnation of the
-    address that was heard of before then is over.
+    The arrival order of records proves nothing: a delayed record of an old incarnation
+    may arrive after one of its successor. An answer to a probe does: its sender was
+    running after the probe was sent, so every other incarnation of the address that
+    was heard of before then has ended.
     """
 
     def __init__(self) -> None:
-        self._seen: OrderedDict[Address, OrderedDict[int, float]] = OrderedDict()
-        self._over: dict[Address, set[int]] = {}
-
-    def note(self, address: Address, incarnation: int, now: float) -> None:
-        """Note that an incarnation was heard of."""
-        seen = self._seen.setdefault(address, OrderedDict())
-        self._seen.move_to_end(address)
-        seen.setdefault(incarnation, now)
-        if len(seen) > c.MAX_SIGHTINGS_AN_ADDRESS:
-            oldest, _ = seen.popitem(last=False)
-            self._over.get(address, set()).discard(oldest)
-        if len(self._seen) > c.MAX_SIGHTED_ADDRESSES:
-            forgotten, _ = self._seen.popitem(last=False)
-            self._over.pop(forgotten, None)
-
-    def note_answer(self, address: Address, incarnation: int, asked_at: float) -> None:
-        """Note who answered a probe that was sent at asked_at."""
-        over = self._over.setdefault(address, set())
-        over.discard(incarnation)
-        for other, first_heard_at in self._seen.get(address, {}).items():
-            if other != incarnation and first_heard_at < asked_at:
-                over.add(other)
-
-    def is_over(self, address: Address, incarnation: int) -> bool:
-        """Return whether another life has answered since this one was heard of."""
-        return incarnation in self._over.get(address, set())
+        self._first_heard_at: OrderedDict[Address, OrderedDict[int, float]] = (
+            OrderedDict()
+        )
+        self._ended: dict[Address, set[int]] = {}
+
+    def record(self, address: Address, incarnation: int, now: float) -> None:
+        """Record that an incarnation was heard of."""
+        first_heard_at = self._first_heard_at.setdefault(address, OrderedDict())
+        self._first_heard_at.move_to_end(address)
+        first_heard_at.setdefault(incarnation, now)
+        if len(first_heard_at) > c.MAX_INCARNATIONS_PER_ADDRESS:
+            oldest, _ = first_heard_at.popitem(last=False)
+            self._ended.get(address, set()).discard(oldest)
+        if len(self._first_heard_at) > c.MAX_TRACKED_ADDRESSES:
+            forgotten, _ = self._first_heard_at.popitem(last=False)
+            self._ended.pop(forgotten, None)
+
+    def record_answer(
+        self, address: Address, incarnation: int, asked_at: float
+    ) -> None:
+        """Record which incarnation answered a probe sent at asked_at."""
+        ended = self._ended.setdefault(address, set())
+        ended.discard(incarnation)
+        for other, heard_at in self._first_heard_at.get(address, {}).items():
+            if other != incarnation and heard_at < asked_at:
+                ended.add(other)
+
+    def has_ended(self, address: Address, incarnation: int) -> bool:
+        """Return whether another incarnation answered after this one was heard of."""
+        return incarnation in self._ended.get(address, set())
--- a/libraries/membership/tarragonward_membership/targets.py
+++ b/libraries/membership/tarragonward_membership/targets.py
@@ -19,53 +19,53 @@
 
 
 @dataclass
-class _Seen:
+class _TargetState:
     live_at: float
     leaving_at: float | None = None
-    missing: int = 0
+    missing_reads: int = 0
 
 
 class TargetList:
-    """What the lists said of each target, and when.
+    """The states of targets in the host lists read so far.
 
-    Replicas of the list lag each by its own time. Symptom: read in turn, one says
-    leaving and the next live, and every second read sends new work to a target that
-    leaves. So "leaving" holds for a while after the last list that said it. A target
-    missing from one list is no news; missing from several in a row it is gone, until
-    a list has it again.
+    Replicas of the list lag by different times. Read in turn, one may list a target as
+    leaving and the next as live, and every second read would send it new work. So a
+    target stays leaving for LEAVING_HOLD_SECONDS after the last list that said so. A
+    target missing from MISSING_LIST_READS lists in a row counts as leaving until a list
+    has it again; fewer misses change nothing.
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Seen] = {}
+        self._states: dict[str, _TargetState] = {}
 
     def apply_list(self, targets: Iterable[ListedTarget], now: float) -> None:
-        """Take over a list; an empty one, which a fresh replica gives, is no news."""
+        """Apply a list; ignore an empty one, which a newly started replica returns."""
         listed = {target.name: target for target in targets}
         if not listed:
             return
         for name, target in listed.items():
-            seen = self._seen.setdefault(name, _Seen(now))
-            seen.missing = 0
+            state = self._states.setdefault(name, _TargetState(now))
+            state.missing_reads = 0
             if target.is_leaving:
-                seen.leaving_at = now
+                state.leaving_at = now
             else:
-                seen.live_at = now
-        for name in self._seen.keys() - listed.keys():
-            self._seen[name].missing += 1
+                state.live_at = now
+        for name in self._states.keys() - listed.keys():
+            self._states[name].missing_reads += 1
 
     def get_leaving(self, published: Iterable[str], now: float) -> frozenset[str]:
-        """Return the published targets that take no new work; forget all others."""
+        """Return targets that take no new work; forget unpublished ones not listed."""
         names = set(published)
-        for name in self._seen.keys() - names:
-            if self._seen[name].missing >= c.MISSING_READS:
-                del self._seen[name]
-        return frozenset(name for name in self._seen if self._is_leaving(name, now))
+        for name in self._states.keys() - names:
+            if self._states[name].missing_reads >= c.MISSING_LIST_READS:
+                del self._states[name]
+        return frozenset(name for name in self._states if self._is_leaving(name, now))
 
     def _is_leaving(self, name: str, now: float) -> bool:
-        seen = self._seen[name]
-        if seen.missing >= c.MISSING_READS:
+        state = self._states[name]
+        if state.missing_reads >= c.MISSING_LIST_READS:
             return True
-        if seen.leaving_at is None:
+        if state.leaving_at is None:
             return False
-        is_recent = now - seen.leaving_at < c.LEAVING_HOLD_SECONDS
-        return is_recent or seen.leaving_at >= seen.live_at
+        is_recent = now - state.leaving_at < c.LEAVING_HOLD_SECONDS
+        return is_recent or state.leaving_at >= state.live_at
--- a/libraries/membership/tarragonward_membership/watchers.py
+++ b/libraries/membership/tarragonward_membership/watchers.py
@@ -1,4 +1,4 @@
-"""Choose the few hosts that do a thing for all, by rendezvous hashing."""
+"""Choose the hosts responsible for a key by rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 __all__ = ["choose_hosts"]
 
 
-def choose_hosts(subject: str, hosts: Iterable[Address], count: int) -> list[Address]:
-    """Return the count hosts of highest weight for the subject, the highest first.
+def choose_hosts(key: str, hosts: Iterable[Address], count: int) -> list[Address]:
+    """Return the count hosts with the highest weights for a key, highest first.
 
-    Hosts that agree on who is there choose the same ones, with no word between them;
-    a host that comes or goes changes only the subjects that it gains or loses.
+    Hosts with the same view choose the same hosts without coordination. A host that
+    joins or leaves only affects the keys that it gains or loses.
     """
-    weighed = ((_weigh(subject, host), host) for host in hosts)
-    return [host for _, host in sorted(weighed, reverse=True)[:count]]
+    weighted = ((_compute_weight(key, host), host) for host in hosts)
+    return [host for _, host in sorted(weighted, reverse=True)[:count]]
 
 
-def _weigh(subject: str, host: Address) -> bytes:
-    text = f"{subject}|{host.host}|{host.port}".encode()
+def _compute_weight(key: str, host: Address) -> bytes:
+    text = f"{key}|{host.host}|{host.port}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
--- a/libraries/membership/tests/test_demands.py
+++ b/libraries/membership/tests/test_demands.py
@@ -26,7 +26,7 @@
     """
     sender, receiver = build_digest(1), build_digest(2)
     sender.set_own_rates(RATES, 0.0)
-    items = sender.take(60, is_near, 0.0)
+    items = sender.encode(60, is_near, 0.0)
     assert 0 < len(msgpack.packb(items)) <= 60
     if not is_near:
         receiver = DemandDigest(Address("10.0.0.1", 2), "b")
@@ -42,11 +42,11 @@
     digest = build_digest(1)
     other = build_digest(2)
     other.set_own_rates(RATES, 0.0)
-    digest.merge(other.take(300, True, 0.0), 0.0)
+    digest.merge(other.encode(300, True, 0.0), 0.0)
     keys = set()
     for step in range(40):
         digest.set_own_rates(RATES, 0.02 * step)
-        keys |= {item[0] for item in digest.take(60, True, 0.02 * step)}
+        keys |= {item[0] for item in digest.encode(60, True, 0.02 * step)}
     assert keys == {"10.0.0.1:1", "10.0.0.1:2"}
 
 
@@ -55,7 +55,7 @@
     for port in range(2, 12):
         other = build_digest(port)
         other.set_own_rates({"account-1": 100.0}, 0.0)
-        digest.merge(other.take(300, True, 0.0), 0.0)
+        digest.merge(other.encode(300, True, 0.0), 0.0)
     live = [Address("10.0.0.1", port) for port in range(2, 52)]
-    demand = digest.get_demand(live, [], 0.0, near_hosts=50)
+    demand = digest.get_demand(live, [], 0.0, local_host_count=50)
     assert demand["account-1"] == pytest.approx(5_000, rel=0.05)
--- a/libraries/membership/tests/test_registry.py
+++ b/libraries/membership/tests/test_registry.py
@@ -89,7 +89,7 @@
 def test_a_whole_reading_withdraws_what_it_lacks_but_nothing_newer(registry):
     registry.apply(build("i-1", 1))
     registry.apply(build("i-3", 30))
-    registry.apply_all([build("i-2", 2)], revision=20)
+    registry.apply_snapshot([build("i-2", 2)], revision=20)
     assert get_ready_ids(registry) == ["i-2", "i-3"]
 
 
--- a/libraries/membership/tests/test_seeds.py
+++ b/libraries/membership/tests/test_seeds.py
@@ -13,7 +13,7 @@
     SeedMembership,
     SendHello,
 )
-from tarragonward_membership.const import MATES_ROUND_SECONDS
+from tarragonward_membership.const import CELL_REFRESH_SECONDS
 
 PORT = 7340
 ROUND_SECONDS = 0.2
@@ -180,9 +180,11 @@
     mates = [peer.identity.address for peer in host.get_peers()][:30]
     host.set_cell_peers(mates)
     host.choose_immediate_receivers(100, net.now, is_urgent=True)
-    assert host.choose_brief((), 100, 9.0, net.now + 1.0) == ()
-    due = net.now + MATES_ROUND_SECONDS
-    assert set(host.choose_brief((), 100, 9.0, due)) == set(host.get_cell_peers())
+    assert host.choose_brief_receivers((), 100, 9.0, net.now + 1.0) == ()
+    due = net.now + CELL_REFRESH_SECONDS
+    assert set(host.choose_brief_receivers((), 100, 9.0, due)) == set(
+        host.get_cell_peers()
+    )
 
 
 def test_the_domain_of_a_host_is_known_by_others_word():
