--- a/libraries/bench/tarragonward_bench/harm/crashes.py
+++ b/libraries/bench/tarragonward_bench/harm/crashes.py
@@ -83,11 +83,11 @@
         return self.gossip.build(told, self.world.now) or None
 
     def _take(self, data: list[object], age: float) -> None:
-        self.gossip.take(data, age, self.world.now)
+        self.gossip.merge(data, age, self.world.now)
         self._arm()
 
-    def note_changed(self, fingerprint: bytes) -> None:
-        self.gossip.note_changed(fingerprint, self.world.now)
+    def record_change(self, fingerprint: bytes) -> None:
+        self.gossip.record_change(fingerprint, self.world.now)
         self._arm()
 
     def _arm(self) -> None:
@@ -219,7 +219,7 @@
         request.sends.append((self.world.now, host.is_in_touch(STABLE_SECONDS)))
         if is_alone:
             host.ledger.begin_isolated_attempt(request.fingerprint, self.world.now)
-            host.note_changed(request.fingerprint)
+            host.record_change(request.fingerprint)
         wait = self.random.uniform(*BEGIN_SECONDS)
         if request.is_culprit:
             wait += self.random.uniform(*CRASH_SECONDS)
@@ -240,7 +240,7 @@
             return
         self.answered += 1
         if host.ledger.record_answered(fingerprint, self.world.now):
-            host.note_changed(fingerprint)
+            host.record_change(fingerprint)
 
     def _end_target(self, target: _Target, by: _Attempt | None) -> None:
         if target.is_dead or (by is not None and by not in target.running):
@@ -265,7 +265,7 @@
             return
         now = self.world.now
         host.ledger.record_crash(request.fingerprint, request.size, target.boot, now)
-        host.note_changed(request.fingerprint)
+        host.record_change(request.fingerprint)
         self._begin(attempt)
 
     def _crash_herd(self) -> None:
--- a/libraries/bench/tarragonward_bench/harm/limits.py
+++ b/libraries/bench/tarragonward_bench/harm/limits.py
@@ -84,7 +84,7 @@
         if not self.wake_at(self.note_answer, target, rate):
             return
         if self.limits.note_named(target.number, rate, self.world.now):
-            self.gossip.note_changed(target.number)
+            self.gossip.record_change(target.number)
             self.world.after(gateway_const.LIMIT_BATCH_SECONDS, self._tell)
         if rate is not None:
             target.told_at.setdefault(self, self.world.now)
@@ -94,7 +94,7 @@
         return self.gossip.build(numbers, self.world.now) or None
 
     def _take(self, data: list[object], age: float) -> None:
-        self.gossip.take(data, age, self.world.now)
+        self.gossip.merge(data, age, self.world.now)
 
     def _tell(self) -> None:
         if not self.wake_at(self._tell):
--- a/libraries/bench/tarragonward_bench/harm/spread.py
+++ b/libraries/bench/tarragonward_bench/harm/spread.py
@@ -38,7 +38,7 @@
     usual = fleet.sent_bytes - before
     for target, host in enumerate(run.random.sample(list(fleet.hosts.values()), 3)):
         host.ledger.record_crash(FINGERPRINT, BODY_BYTES, target, world.now)
-        host.note_changed(FINGERPRINT)
+        host.record_change(FINGERPRINT)
     before, began = fleet.sent_bytes, world.now
     known_at: list[float] = []
     while world.now < began + LONGEST_SECONDS:
--- a/libraries/gateway/tarragonward_gateway/limit_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/limit_gossip.py
@@ -1,4 +1,4 @@
-"""Decide what to tell other hosts of the limits that targets name."""
+"""Decide which target rate limits are sent to other hosts, and when."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class LimitGossip:
-    """What one host tells of the limits it knows; times in seconds.
+    """Schedules what one host sends of the limits it knows; times in seconds.
 
-    What a target names first, or changes, is told to all at once; rounds repeat it.
+    A new or changed limit is sent to all hosts at once; gossip rounds repeat it.
     """
 
     def __init__(self, limits: TargetLimits) -> None:
@@ -24,29 +24,29 @@
         self._pending: dict[int, None] = {}
         self._rotation = Rotation()
 
-    def note_changed(self, number: int) -> None:
-        """Note that all should hear of a target's limit."""
+    def record_change(self, number: int) -> None:
+        """Schedule a target's limit to be sent to all hosts."""
         self._pending[number] = None
 
     def take_pending(self) -> list[list[int]]:
-        """Return the targets to tell of now, as many at a time as a message holds."""
-        news, self._pending = list(self._pending), {}
+        """Return the targets whose limits are due, in lists that fit a message each."""
+        pending, self._pending = list(self._pending), {}
         size = c.MAX_LIMITS_PER_MESSAGE
-        return [news[start : start + size] for start in range(0, len(news), size)]
+        return [pending[start : start + size] for start in range(0, len(pending), size)]
 
     def choose_next(self) -> list[int]:
-        """Return a few of all targets that name limits, others at each call."""
+        """Return the next few of the targets that have limits."""
         return self._rotation.take(list(self._limits.iterate()), c.MAX_LIMITS_PER_ROUND)
 
     def build(self, numbers: Iterable[int], now: float) -> list[Any]:
-        """Return what is known of these targets, as it travels."""
+        """Return the entries of these targets in wire form."""
         entries = (self._limits.build_entry(number, now) for number in numbers)
         return [entry.pack() for entry in entries if entry is not None]
 
-    def take(self, data: Iterable[Any], age: float, now: float) -> None:
-        """Take what another host told; raise ValueError where it is malformed."""
+    def merge(self, data: Iterable[Any], age: float, now: float) -> None:
+        """Apply the entries of another host; raise ValueError if one is malformed."""
         for item in data:
             entry = LimitEntry.unpack(item)
             if self._limits.take(entry, now, age):
-                # The other host has told all of it.
+                # The other host has already sent this limit to all hosts.
                 self._pending.pop(entry.number, None)
--- a/libraries/gateway/tarragonward_gateway/limit_task.py
+++ b/libraries/gateway/tarragonward_gateway/limit_task.py
@@ -1,4 +1,4 @@
-"""Tell the other hosts of the limits that targets name, and hear theirs."""
+"""Exchange the rate limits that targets announce with the other hosts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class LimitTask:
-    """The part of the hosts' datagrams that is about limits of targets."""
+    """Builds and applies the limits section of the hosts' datagrams."""
 
     def __init__(
         self, state: GatewayState, peers: Peers, chooser: TargetChooser
@@ -34,31 +34,31 @@
         self._gossip = LimitGossip(chooser.limits)
         self._outgoing: list[int] = []
         self._timer: asyncio.TimerHandle | None = None
-        chooser.on_limit.append(self._note_changed)
+        chooser.on_limit.append(self._handle_change)
         peers.add_section(SECTION, self._build, self._take)
         state.metrics.add_gauge(
             "targets_limited", "name a limit", lambda: len(self._limits)
         )
 
     async def async_setup(self) -> None:
-        """Begin to forget the limits of targets that are no more."""
-        self._background.start(TASK_NAME, self._async_forget)
+        """Start dropping the limits of targets that are no longer registered."""
+        self._background.start(TASK_NAME, self._async_drop_unregistered)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop dropping and sending limits."""
         if self._timer is not None:
             self._timer.cancel()
         await self._background.async_unload()
 
-    async def _async_forget(self) -> None:
+    async def _async_drop_unregistered(self) -> None:
         while True:
             await asyncio.sleep(c.LIMIT_EXPIRY_INTERVAL_SECONDS)
             registered = self._state.registry.get_all()
             numbers = {hash_name(target.id) for target in registered}
             self._limits.keep_only(numbers, read_clock())
 
-    def _note_changed(self, number: int) -> None:
-        self._gossip.note_changed(number)
+    def _handle_change(self, number: int) -> None:
+        self._gossip.record_change(number)
         if self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(c.LIMIT_BATCH_SECONDS, self._send)
@@ -71,8 +71,8 @@
         self._outgoing = []
 
     def _build(self) -> list[Any] | None:
-        told = self._outgoing or self._gossip.choose_next()
-        return self._gossip.build(told, read_clock()) or None
+        selected = self._outgoing or self._gossip.choose_next()
+        return self._gossip.build(selected, read_clock()) or None
 
     def _take(self, host: str, data: Any, age: float) -> None:
-        self._gossip.take(data, age, read_clock())
+        self._gossip.merge(data, age, read_clock())
--- a/libraries/gateway/tarragonward_gateway/operators.py
+++ b/libraries/gateway/tarragonward_gateway/operators.py
@@ -71,7 +71,7 @@
         state.metrics.add_gauge(
             "suspects",
             "requests that targets ended under",
-            lambda: len(suspects.ledger),
+            lambda: len(suspects.tracker),
         )
 
     @property
@@ -118,7 +118,7 @@
         if route != c.ROUTE_SUSPECTS:
             return False
         try:
-            return self._suspects.lift(bytes.fromhex(name))
+            return self._suspects.clear(bytes.fromhex(name))
         except ValueError:
             return False
 
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -185,10 +185,10 @@
 
     def _check_suspect(self) -> ExchangeEffect | None:
         """Return the end of a request that may crash one more target, else None."""
-        verdict = self._suspects.judge(self._identity)
+        verdict = self._suspects.evaluate(self._identity)
         self._placer.is_suspect = verdict is Verdict.ALONE
         if verdict is Verdict.REFUSED:
-            self._suspects.note_refused(self._identity)
+            self._suspects.record_refused(self._identity)
             return self._handle_event(Blamed())
         if verdict is Verdict.LATER:
             return self._handle_event(
@@ -408,7 +408,7 @@
         self._answer = (stream.status, headers, body)
         if stream.status < STATUS_SERVER_ERROR:
             self._chooser.probes.record(choice.target, Evidence.ANSWERED)
-            self._suspects.note_answered(self._identity)
+            self._suspects.record_answered(self._identity)
         return TargetAnswered(is_failure=stream.status >= STATUS_SERVER_ERROR)
 
     async def _async_forward_stream(
@@ -426,7 +426,7 @@
                     self._idle_timeout.pause()
                 await self._async_forward_events(stream, events)
                 # While the caller does not read, the engine's pace is not seen.
-                choice.reading_since = self._loop.time()
+                choice.waiting_since = self._loop.time()
                 if self._idle_timeout is not None:
                     self._idle_timeout.resume()
         if splitter.has_partial_event:
@@ -436,7 +436,7 @@
             if self._exchange.last_id is None:
                 raise SpoiledAnswerError("the stream has no event")
             self._start_answer(stream)
-        self._suspects.note_answered(self._identity)
+        self._suspects.record_answered(self._identity)
         await self._responder.async_finish()
         self._exchange.has_ended = True
         return None
--- a/libraries/gateway/tarragonward_gateway/suspect_task.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_task.py
@@ -1,4 +1,4 @@
-"""Tell the other hosts of requests that targets end under, and hear theirs."""
+"""Exchange the requests that crash targets with the other hosts."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 
 class SuspectTask:
-    """The part of the hosts' datagrams that is about suspects."""
+    """Builds and applies the suspects section of the hosts' datagrams."""
 
     def __init__(
         self, state: GatewayState, peers: Peers, suspects: SuspectMonitor
     ) -> None:
         self._peers = peers
-        self._ledger = suspects.ledger
-        self._gossip = SuspectGossip(suspects.ledger, peers.members, state.random)
+        self._tracker = suspects.tracker
+        self._gossip = SuspectGossip(suspects.tracker, peers.members, state.random)
         self._background = BackgroundTasks(state.metrics)
         self._timer: asyncio.TimerHandle | None = None
         self._outgoing: Iterable[bytes] = ()
-        suspects.on_change.append(self._note_changed)
+        suspects.on_change.append(self._handle_change)
         suspects.is_isolated = lambda: peers.members.is_isolated
         peers.add_section(SECTION, self._build, self._take)
 
     async def async_setup(self) -> None:
-        """Begin to forget what was not seen for long."""
+        """Start expiring old suspects."""
         self._background.start(TASK_NAME, self._async_expire)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop expiring and sending."""
         if self._timer is not None:
             self._timer.cancel()
         await self._background.async_unload()
@@ -50,10 +50,10 @@
     async def _async_expire(self) -> None:
         while True:
             await asyncio.sleep(c.SUSPECT_EXPIRY_INTERVAL_SECONDS)
-            self._ledger.expire(read_clock())
+            self._tracker.expire(read_clock())
 
-    def _note_changed(self, fingerprint: bytes) -> None:
-        self._gossip.note_changed(fingerprint, read_clock())
+    def _handle_change(self, fingerprint: bytes) -> None:
+        self._gossip.record_change(fingerprint, read_clock())
         self._arm()
 
     def _arm(self) -> None:
@@ -67,16 +67,16 @@
             self._timer = loop.call_later(wait, self._send_due)
 
     def _send_due(self) -> None:
-        for news in self._gossip.take_due(read_clock()):
-            self._outgoing = news.fingerprints
-            self._peers.send_section_to(SECTION, news.hosts)
+        for message in self._gossip.take_due(read_clock()):
+            self._outgoing = message.fingerprints
+            self._peers.send_section_to(SECTION, message.hosts)
         self._outgoing = ()
         self._arm()
 
     def _build(self) -> list[Any] | None:
-        told = self._outgoing or self._gossip.choose_next()
-        return self._gossip.build(told, read_clock()) or None
+        selected = self._outgoing or self._gossip.choose_next()
+        return self._gossip.build(selected, read_clock()) or None
 
     def _take(self, host: str, data: Any, age: float) -> None:
-        self._gossip.take(data, age, read_clock())
+        self._gossip.merge(data, age, read_clock())
         self._arm()
--- a/libraries/gateway/tarragonward_gateway/suspects.py
+++ b/libraries/gateway/tarragonward_gateway/suspects.py
@@ -1,4 +1,4 @@
-"""Note which requests targets end under, and say what may be done with them."""
+"""Track the requests that crash targets, and decide how such suspects are sent."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RequestIdentity:
-    """What a request shares with its repeats; hashed only where it is needed."""
+    """Identifies a request and its repeats; hashed only when the hash is needed."""
 
     def __init__(self, request: HttpRequest, account: Account | None) -> None:
         self._request = request
@@ -44,96 +44,100 @@
 
 
 class SuspectMonitor:
-    """The ledger of one host; on_news is called with what other hosts should hear."""
+    """Records crashes in this host's tracker.
+
+    on_change is called with the fingerprint of a suspect that other hosts should learn
+    of.
+    """
 
     def __init__(self, state: GatewayState, probes: TargetProber) -> None:
-        self.ledger = SuspectTracker()
-        # Whether this host hears none of the others.
+        self.tracker = SuspectTracker()
+        # Whether this host receives nothing from any other host.
         self.is_isolated: Callable[[], bool] = lambda: False
         self.on_change: list[Callable[[bytes], None]] = []
         self._state = state
         self._probes = probes
 
-    def judge(self, identity: RequestIdentity) -> Verdict:
-        """Return what may be done with a request."""
-        if not self.ledger.may_contain(identity.body_size):
+    def evaluate(self, identity: RequestIdentity) -> Verdict:
+        """Return whether and how a request may be sent."""
+        if not self.tracker.may_contain(identity.body_size):
             return Verdict.CLEAR
         fingerprint = identity.fingerprint
-        return self.ledger.evaluate(fingerprint, read_clock(), self.is_isolated())
+        return self.tracker.evaluate(fingerprint, read_clock(), self.is_isolated())
 
     def get_wait_seconds(self, identity: RequestIdentity) -> float:
-        """Return for how long a request that is judged LATER has to wait."""
+        """Return how long a request with the verdict LATER has to wait."""
         fingerprint, is_isolated = identity.fingerprint, self.is_isolated()
-        return self.ledger.get_wait_seconds(fingerprint, read_clock(), is_isolated)
+        return self.tracker.get_wait_seconds(fingerprint, read_clock(), is_isolated)
 
     async def async_record_lost(
         self, identity: RequestIdentity, target: RegisteredTarget
     ) -> None:
-        """Note that a request's connection was lost, if the target has ended."""
-        # One that only closed the connection takes the next: it says nothing of the
-        # request, and a link that loses connections would make suspects of all.
+        """Record a crash if the target that lost the connection has ended."""
+        # A target that accepts a new connection has not crashed. Counting it would turn
+        # all requests on an unreliable link into suspects.
         if not await self._probes.async_has_ended(target):
             return
         fingerprint, now = identity.fingerprint, read_clock()
         number = hash_name(target.id)
-        self.ledger.record_crash(fingerprint, identity.body_size, number, now)
+        self.tracker.record_crash(fingerprint, identity.body_size, number, now)
         self._state.metrics.count("requests_lost_in_crashes")
         log_event(
             "crash_noted",
             target=target.id,
             fingerprint=fingerprint.hex(),
-            targets=self.ledger.count(fingerprint),
+            targets=self.tracker.count(fingerprint),
         )
-        self._tell(fingerprint)
+        self._notify(fingerprint)
 
-    def note_answered(self, identity: RequestIdentity) -> None:
-        """Note a whole answer of a target."""
-        if not self.ledger.may_contain(identity.body_size):
+    def record_answered(self, identity: RequestIdentity) -> None:
+        """Record that a target answered a request completely."""
+        if not self.tracker.may_contain(identity.body_size):
             return
         fingerprint = identity.fingerprint
-        if self.ledger.record_answered(fingerprint, read_clock()):
+        if self.tracker.record_answered(fingerprint, read_clock()):
             log_event("suspect_acquitted", fingerprint=fingerprint.hex())
-            self._tell(fingerprint)
+            self._notify(fingerprint)
 
-    def note_refused(self, identity: RequestIdentity) -> None:
-        """Note that a request was refused for what it has done."""
+    def record_refused(self, identity: RequestIdentity) -> None:
+        """Record that a request was refused because it crashed targets."""
         self._state.metrics.count("requests_blamed")
-        self.ledger.record_refused(identity.fingerprint, read_clock())
+        self.tracker.record_refused(identity.fingerprint, read_clock())
 
     @contextmanager
     def isolated_attempt(self, identity: RequestIdentity) -> Iterator[None]:
-        """Let the other hosts know that this one tries a request."""
+        """Announce to the other hosts that this one is trying a suspect request."""
         fingerprint = identity.fingerprint
-        self.ledger.begin_isolated_attempt(fingerprint, read_clock())
-        self._tell(fingerprint)
+        self.tracker.begin_isolated_attempt(fingerprint, read_clock())
+        self._notify(fingerprint)
         try:
             yield
         finally:
-            self.ledger.end_isolated_attempt(fingerprint)
+            self.tracker.end_isolated_attempt(fingerprint)
 
-    def lift(self, fingerprint: bytes) -> bool:
-        """Forget, at an operator's word, what a request has done; tell all hosts."""
-        has_lifted = self.ledger.clear(fingerprint, read_clock())
-        if has_lifted:
-            log_event("suspect_lifted", fingerprint=fingerprint.hex())
-            self._tell(fingerprint)
-        return has_lifted
+    def clear(self, fingerprint: bytes) -> bool:
+        """Clear a suspect at all hosts, as an operator asks; return if it existed."""
+        has_cleared = self.tracker.clear(fingerprint, read_clock())
+        if has_cleared:
+            log_event("suspect_cleared", fingerprint=fingerprint.hex())
+            self._notify(fingerprint)
+        return has_cleared
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return the suspects as operators see them, the worst first."""
+        """Return the suspects for operators, those with the most crashes first."""
         now = read_clock()
         known = [
             {
                 "fingerprint": fingerprint.hex(),
                 "body_bytes": suspect.body_size,
                 "targets_ended": len(suspect.uncleared_targets),
-                "verdict": self.ledger.evaluate(fingerprint, now).value,
+                "verdict": self.tracker.evaluate(fingerprint, now).value,
                 "idle_seconds": round(now - suspect.last_activity_at, 1),
             }
-            for fingerprint, suspect in self.ledger.items()
+            for fingerprint, suspect in self.tracker.items()
         ]
         return sorted(known, key=lambda one: -one["targets_ended"])
 
-    def _tell(self, fingerprint: bytes) -> None:
+    def _notify(self, fingerprint: bytes) -> None:
         for notify in self.on_change:
             notify(fingerprint)
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -75,7 +75,7 @@
     work: InFlightPrompt | None = None
     ticket: str = ""
     has_events: bool = False
-    reading_since: float | None = None
+    waiting_since: float | None = None
 
     def note_first_event(self, now: float) -> None:
         """Record that the first event arrived, so the prefill is complete."""
@@ -87,10 +87,10 @@
 
         Each event takes one pass. None for the first event, which includes the prefill.
         """
-        since = self.reading_since
-        if since is None or self.plan is None or not self.plan.pass_seconds:
+        waiting_since = self.waiting_since
+        if waiting_since is None or self.plan is None or not self.plan.pass_seconds:
             return None
-        return (now - since) / events / self.plan.pass_seconds
+        return (now - waiting_since) / events / self.plan.pass_seconds
 
     @property
     def predicted_at(self) -> float | None:
--- a/libraries/gateway/tarragonward_gateway/turns.py
+++ b/libraries/gateway/tarragonward_gateway/turns.py
@@ -1,4 +1,4 @@
-"""Go through what hosts repeat to each other, a few at a time."""
+"""Select a few items per gossip round, so that each has its turn."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Rotation:
-    """The place up to which things were told; what comes and goes may shift it."""
+    """A position in a sequence; added and removed items may shift it."""
 
     def __init__(self) -> None:
         self._position = 0
 
-    def take(self, known: Sequence[Item], count: int) -> list[Item]:
-        """Return the next few, from the first again after the last."""
-        if not known:
+    def take(self, items: Sequence[Item], count: int) -> list[Item]:
+        """Return the next items, continuing with the first one after the last."""
+        if not items:
             return []
-        start = self._position % len(known)
+        start = self._position % len(items)
         self._position = start + count
-        return [*known[start:], *known[:start]][:count]
+        return [*items[start:], *items[:start]][:count]
--- a/libraries/gateway/tests/test_crashes.py
+++ b/libraries/gateway/tests/test_crashes.py
@@ -54,19 +54,19 @@
     for _ in range(4):
         assert (await ask(site, MARK)).status == 502
     assert site.runs == 8
-    assert not len(site.forwarder.suspects.ledger)
+    assert not len(site.forwarder.suspects.tracker)
 
 
 async def test_a_victim_is_answered_by_the_next_target(make_site):
     """What is in progress beside a crash must not be refused for it."""
     site = await make_crashing_site(make_site, 8)
     victim = FINGERPRINT
-    ledger = site.forwarder.suspects.ledger
+    tracker = site.forwarder.suspects.tracker
     for target in (1, 2):
-        ledger.record_crash(victim, len(b"other"), target, read_clock())
-    assert ledger.evaluate(victim, read_clock()) is Verdict.ALONE
+        tracker.record_crash(victim, len(b"other"), target, read_clock())
+    assert tracker.evaluate(victim, read_clock()) is Verdict.ALONE
     assert (await ask(site, b"other")).status == 200
-    assert ledger.evaluate(victim, read_clock()) is Verdict.CLEAR
+    assert tracker.evaluate(victim, read_clock()) is Verdict.CLEAR
 
 
 async def test_a_refusal_tells_the_truth_and_no_time_to_come_back(make_site):
--- a/libraries/gateway/tests/test_operators.py
+++ b/libraries/gateway/tests/test_operators.py
@@ -118,7 +118,7 @@
     site.state.settings = replace(site.state.settings, metrics=free)
     suspects = site.forwarder.suspects
     for target in range(3):
-        suspects.ledger.record_crash(b"12345678", 9, target, read_clock())
+        suspects.tracker.record_crash(b"12345678", 9, target, read_clock())
     operators = OperatorsTask(site.state, site.chooser.target_health, suspects)
     await operators.async_setup()
 
@@ -130,7 +130,7 @@
     path = f"/suspects/{shown['fingerprint']}"
     assert (await ask("DELETE", "/suspects/none")).status == 404
     assert (await ask("DELETE", path)).status == 200
-    assert suspects.ledger.evaluate(b"12345678", read_clock()) is Verdict.CLEAR
+    assert suspects.tracker.evaluate(b"12345678", read_clock()) is Verdict.CLEAR
     assert (await ask("DELETE", path)).status == 404
     await operators.async_unload()
 
--- a/libraries/gateway/tests/test_suspect_task.py
+++ b/libraries/gateway/tests/test_suspect_task.py
@@ -39,10 +39,10 @@
 
     @property
     def verdict(self):
-        return self.watch.ledger.evaluate(FINGERPRINT, read_clock())
+        return self.watch.tracker.evaluate(FINGERPRINT, read_clock())
 
     def crash(self, target):
-        self.watch.ledger.record_crash(FINGERPRINT, 9, target, read_clock())
+        self.watch.tracker.record_crash(FINGERPRINT, 9, target, read_clock())
         for notify in self.watch.on_change:
             notify(FINGERPRINT)
 
@@ -96,7 +96,7 @@
         hosts[0].crash(target)
     await wait_for(lambda: {h.verdict for h in hosts} == {Verdict.REFUSED})
     await asyncio.sleep(0.01)
-    assert hosts[1].watch.lift(FINGERPRINT)
+    assert hosts[1].watch.clear(FINGERPRINT)
     await wait_for(lambda: {h.verdict for h in hosts} == {Verdict.CLEAR})
 
 
