--- a/libraries/requests/tarragonward_requests/suspects.py
+++ b/libraries/requests/tarragonward_requests/suspects.py
@@ -1,4 +1,4 @@
-"""Decide which requests crash the targets that run them, by what all hosts saw."""
+"""Detect requests that crash their targets, from the observations of all hosts."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class Verdict(Enum):
-    """What may be done with a request."""
+    """How a request may be sent."""
 
     CLEAR = "clear"
-    # Sent to one target at a time, where nothing else is in progress.
+    # Only to one target at a time, and to one without other requests in progress.
     ALONE = "alone"
-    # Another host tries it just now, or may know more of it.
+    # Not now: another host is trying it, or this host lacks its peers' observations.
     LATER = "later"
     REFUSED = "refused"
 
 
 @dataclass(frozen=True)
 class SuspectEntry:
-    """What one host tells another of a request; times are in seconds.
+    """Gossip between hosts about one request; times are in seconds.
 
     crashes has a number for each target that crashed while running the request; cleared
     is the subset that a complete answer has cleared the request of. idle_seconds is the
@@ -46,7 +46,7 @@
     attempt_seconds: float = 0.0
 
     def pack(self) -> tuple[Any, ...]:
-        """Return the entry as it travels."""
+        """Return the entry in wire format, with times in milliseconds."""
         idle, attempt = (
             _pack_seconds(self.idle_seconds),
             _pack_seconds(self.attempt_seconds),
@@ -56,15 +56,15 @@
 
     @classmethod
     def unpack(cls, item: Any) -> SuspectEntry:
-        """Return the entry that pack() gave; raise ValueError if it is not one."""
+        """Parse the result of pack(); raise ValueError if it is malformed."""
         fingerprint, size, crashes, cleared, idle, attempt = item
         if type(fingerprint) is not bytes or len(fingerprint) != FINGERPRINT_BYTES:
-            raise ValueError("not a fingerprint")
+            raise ValueError("fingerprint must be 8 bytes")
         numbers = (size, idle, attempt, *crashes, *cleared)
         if not all(type(n) is int and 0 <= n < MAX_INTEGER for n in numbers):
-            raise ValueError("a number is not one")
+            raise ValueError("numbers must be integers from 0 to 2**62 - 1")
         if len(crashes) > c.MAX_CRASHES_PER_SUSPECT or not set(cleared) <= set(crashes):
-            raise ValueError("not the targets that ended")
+            raise ValueError("at most 8 crashes, and cleared ones must be among them")
         return cls(
             fingerprint,
             size,
@@ -77,41 +77,42 @@
 
 @dataclass
 class Suspect:
-    """A request under which targets ended; times are the ledger's, in seconds.
+    """A request under which targets crashed; times in seconds of the tracker's clock.
 
-    What it was cleared of is kept by target, not by time: ages that hosts tell each
-    other again and again drift, and a request would be cleared of later crashes.
+    Clearing applies to single targets, not to all crashes before a time: ages drift as
+    hosts relay them, and the request would be cleared of later crashes.
     """
 
     body_size: int
     last_activity_at: float
-    # In the order in which they became known; the values say which were cleared.
+    # Crashed targets in the order in which they became known; True if cleared.
     crashes: dict[int, bool] = field(default_factory=dict)
     attempt_until: float = NEVER
-    # When this host itself last saw a target end under it.
+    # When this host itself last saw a target crash under the request.
     last_local_crash_at: float = NEVER
 
     @property
     def uncleared_targets(self) -> frozenset[int]:
-        """Return the targets that ended under it and that no answer cleared it of."""
+        """Return the crashed targets that no answer has cleared the request of."""
         return frozenset(t for t, cleared in self.crashes.items() if not cleared)
 
     def record_crash(self, target: int) -> None:
-        """Count a target that ended, once."""
+        """Add a crashed target; each target counts once."""
         if target in self.crashes:
             return
         if len(self.crashes) >= c.MAX_CRASHES_PER_SUSPECT:
-            oldest = max(self.crashes, key=self.crashes.__getitem__)
-            del self.crashes[oldest]
+            # The oldest cleared target, or the oldest of all if none is cleared.
+            evicted = max(self.crashes, key=self.crashes.__getitem__)
+            del self.crashes[evicted]
         self.crashes[target] = False
 
     def clear(self, targets: Iterable[int]) -> None:
-        """Clear it of these targets."""
+        """Clear the request of the crashes of these targets."""
         self.crashes.update(dict.fromkeys(set(targets) & self.crashes.keys(), True))
 
     @property
     def expires_at(self) -> float:
-        """Return when it is forgotten, unless it is seen again."""
+        """Return when the record expires without further activity."""
         count = len(self.uncleared_targets)
         if not count:
             return self.last_activity_at + c.CLEARED_RETENTION_SECONDS
@@ -121,38 +122,38 @@
 
 
 class SuspectTracker:
-    """The requests under which targets ended, by fingerprint; times in seconds.
-
-    All that is in progress at a target that ends is suspected, so one crash says
-    little. A request that ends target after target is refused after the third; any
-    whole answer acquits it, as a request that crashes what runs it never has one.
-    What hosts tell each other is united, so that order, loss and doubling of messages
-    change nothing but the time until all know. Memory is bounded: what has the fewest
-    crashes, and of that the oldest, is forgotten first.
+    """Requests under which targets crashed, by fingerprint; times in seconds.
+
+    Every request in progress on a target that crashes becomes a suspect, so a single
+    crash is weak evidence. A request is refused after its third crashed target. Any
+    complete answer clears it, as a request that crashes its targets never gets one.
+    Entries from peers are merged as a set union, so reordered, lost or duplicated
+    messages only delay convergence. Memory is bounded: the suspects with the fewest
+    crashes are evicted first, the least recently active of them before the others.
     """
 
     def __init__(self) -> None:
         self._suspects: dict[bytes, Suspect] = {}
         self._size_counts: Counter[int] = Counter()
-        # Those that enough targets have ended under to be refused.
+        # Suspects with enough crashes to be refused.
         self._refused: set[bytes] = set()
 
     def __len__(self) -> int:
-        """Return how many requests are known."""
+        """Return the number of suspects."""
         return len(self._suspects)
 
     def may_contain(self, body_size: int) -> bool:
-        """Return whether a request with a body of so many bytes may be known."""
+        """Return whether any suspect has a body of this many bytes, to skip hashing."""
         return self._size_counts[body_size] > 0
 
     def evaluate(
         self, fingerprint: bytes, now: float, is_host_isolated: bool = False
     ) -> Verdict:
-        """Return what may be done with a request.
+        """Return how a request may be sent.
 
-        A host that is isolated counts for itself alone. Where several of a fleet are,
-        each of them would let a request end three more targets, so one crash is enough
-        to make it rest there.
+        An isolated host knows only its own crashes. Several isolated hosts would each
+        let the request crash three more targets, so there one crash is enough to delay
+        its next attempt.
         """
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
@@ -171,10 +172,10 @@
         return Verdict.LATER if now < suspect.attempt_until else Verdict.ALONE
 
     def count(self, fingerprint: bytes) -> int:
-        """Return how many targets a request has ended, others' victims left out.
+        """Return how many crashed targets are not explained by a worse suspect.
 
-        Symptom, were those counted: what was beside the request that crashes targets,
-        and came again beside it, is refused with it.
+        Otherwise a request that repeatedly runs beside the one that crashes its targets
+        would be refused together with it.
         """
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
@@ -190,7 +191,7 @@
     def get_wait_seconds(
         self, fingerprint: bytes, now: float, is_host_isolated: bool = False
     ) -> float:
-        """Return for how long a request that is judged LATER has to wait."""
+        """Return how many seconds a request with the verdict LATER has to wait."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return 0.0
@@ -204,7 +205,7 @@
     def record_crash(
         self, fingerprint: bytes, body_size: int, target: int, now: float
     ) -> None:
-        """Note that a target ended under a request."""
+        """Record that a target crashed while it ran a request."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             suspect = self._add(fingerprint, body_size, now)
@@ -214,7 +215,7 @@
         self._update_refused(fingerprint)
 
     def record_answered(self, fingerprint: bytes, now: float) -> bool:
-        """Acquit a request that had a whole answer; return whether it was suspected."""
+        """Clear a request after a complete answer; return whether it was a suspect."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.uncleared_targets:
             return False
@@ -225,25 +226,25 @@
         return True
 
     def record_refused(self, fingerprint: bytes, now: float) -> None:
-        """Note that a request was refused: it is asked still, so not forgotten."""
+        """Record a refusal: callers still send the request, so its record is kept."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.last_activity_at = max(now, suspect.last_activity_at)
 
     def begin_isolated_attempt(self, fingerprint: bytes, now: float) -> None:
-        """Note that this host tries a request now."""
+        """Record that this host is trying a request alone on a target."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.attempt_until = now + c.ISOLATED_ATTEMPT_SECONDS
 
     def end_isolated_attempt(self, fingerprint: bytes) -> None:
-        """Note that the trial is over."""
+        """Record that the isolated attempt has ended."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.attempt_until = NEVER
 
     def build_entry(self, fingerprint: bytes, now: float) -> SuspectEntry | None:
-        """Return what is known of a request, as it is told to other hosts."""
+        """Return the gossip entry of a request, None if it is not a suspect."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return None
@@ -257,51 +258,51 @@
         )
 
     def merge(self, entry: SuspectEntry, now: float, age: float = 0.0) -> bool:
-        """Take in what another host told, so many seconds ago.
+        """Merge a peer's entry that was sent age seconds ago.
 
-        Return whether both together know enough for a verdict that neither had.
+        Return whether the merged record has a stricter verdict than either host had.
         """
         suspect = self._suspects.get(entry.fingerprint)
-        at = now - age
+        sent_at = now - age
         if suspect is None:
             suspect = self._add(
-                entry.fingerprint, entry.body_size, at - entry.idle_seconds
+                entry.fingerprint, entry.body_size, sent_at - entry.idle_seconds
             )
         before = len(suspect.uncleared_targets)
         for target in entry.crashes:
             suspect.record_crash(target)
         suspect.clear(entry.cleared)
         suspect.last_activity_at = max(
-            suspect.last_activity_at, at - entry.idle_seconds
+            suspect.last_activity_at, sent_at - entry.idle_seconds
         )
         if entry.attempt_seconds > age:
             suspect.attempt_until = max(
-                suspect.attempt_until, at + entry.attempt_seconds
+                suspect.attempt_until, sent_at + entry.attempt_seconds
             )
         self._update_refused(entry.fingerprint)
-        # Only a new verdict: two hosts that keep different ones of many targets would
-        # tell each other, and all others, for good.
-        told = len(entry.crashes) - len(entry.cleared)
+        # Only a new verdict is worth relaying: two hosts that keep different subsets of
+        # many crashes would otherwise relay them to each other forever.
+        reported = len(entry.crashes) - len(entry.cleared)
         return _compute_severity(len(suspect.uncleared_targets)) > max(
-            _compute_severity(before), _compute_severity(told)
+            _compute_severity(before), _compute_severity(reported)
         )
 
     def clear(self, fingerprint: bytes, now: float) -> bool:
-        """Forget, at an operator's word, all crashes so far; return whether it did."""
+        """Clear a request at an operator's command; return whether it was a suspect."""
         return self.record_answered(fingerprint, now)
 
     def expire(self, now: float) -> None:
-        """Forget what was not seen for long."""
+        """Remove suspects without recent activity."""
         expired = [f for f, known in self._suspects.items() if known.expires_at <= now]
         for fingerprint in expired:
             self._remove(fingerprint)
 
     def get(self, fingerprint: bytes) -> Suspect | None:
-        """Return what is known of a request, None for nothing."""
+        """Return the record of a request, None if it is not a suspect."""
         return self._suspects.get(fingerprint)
 
     def items(self) -> Iterator[tuple[bytes, Suspect]]:
-        """Give what is known, by fingerprint."""
+        """Iterate over the suspects by fingerprint."""
         yield from self._suspects.items()
 
     def _add(self, fingerprint: bytes, body_size: int, now: float) -> Suspect:
@@ -334,5 +335,5 @@
 
 
 def _compute_severity(targets: int) -> int:
-    """Return 1 where a request is tried alone, 2 where it is refused, else 0."""
+    """Return 2 if a request is refused, 1 if it is tried alone, else 0."""
     return (targets >= c.RUN_ALONE_AFTER_CRASHES) + (targets >= c.REFUSE_AFTER_CRASHES)
--- a/libraries/requests/tests/test_exchange.py
+++ b/libraries/requests/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Randomised runs of one forwarded request, with targets that fail in all ways."""
+"""Tests of Exchange, with randomised runs against targets that fail in all ways."""
 
 import random
 from dataclasses import dataclass, field
@@ -22,46 +22,46 @@
 )
 from tarragonward_requests import const as c
 
-SEEDS_A_RANGE = 500
+SEEDS_PER_RANGE = 500
 RANGES = 4
 STREAM_LENGTH = 6
 DEADLINE = 10.0
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @pytest.fixture(autouse=True)
-def strict_invariants():
+def raise_on_violations():
     invariants.strict = True
     yield
     invariants.strict = False
 
 
 @dataclass
-class World:
-    """The targets of one request: what they ran, and what the caller was given."""
+class FakeTargets:
+    """Targets of one request: counts their runs and records what the caller gets."""
 
     random: random.Random
     policy: ExchangePolicy
     runs: int = 0
-    given: list = field(default_factory=list)
+    delivered: list = field(default_factory=list)
     has_head: bool = False
     has_failure: bool = False
     is_whole: bool = False
 
-    def play(self, exchange, effect, now):
-        """Carry a send out; return the event that ends it, None for a whole stream."""
-        fate = self.random.random()
-        if fate < 0.1:
+    def execute(self, exchange, effect, now):
+        """Execute a send; return the event that ends it, None for a whole stream."""
+        draw = self.random.random()
+        if draw < 0.1:
             return SendFailed(SendFault.NOT_CONNECTED)
         exchange.record_sent()
-        if fate < 0.3:
-            return SendFailed(SendFault.NOT_RUN, 0.1, is_helper_fault=fate < 0.2)
-        has_run = fate < 0.9
+        if draw < 0.3:
+            return SendFailed(SendFault.NOT_RUN, 0.1, is_helper_fault=draw < 0.2)
+        has_run = draw < 0.9
         self.runs += has_run
-        if not has_run or fate < 0.5:
+        if not has_run or draw < 0.5:
             fault = self.random.choice([SendFault.LOST, SendFault.SPOILED])
             return SendFailed(fault)
-        if fate < 0.6:
+        if draw < 0.6:
             self.has_failure = True
             return TargetAnswered(is_failure=True)
         if not self.policy.is_stream:
@@ -77,8 +77,8 @@
                 exchange.handle(AnswerStarted(), now, True)
                 self.has_head = True
             exchange.handle(EventsGiven(number), now, True)
-            self.given.append(number)
-        if stop <= STREAM_LENGTH or not self.given:
+            self.delivered.append(number)
+        if stop <= STREAM_LENGTH or not self.delivered:
             return SendFailed(SendFault.LOST)
         self.is_whole = True
         exchange.has_ended = True
@@ -89,7 +89,7 @@
     rng = random.Random(seed)
     is_stream = rng.random() < 0.5
     policy = ExchangePolicy(rng.random() < 0.5, is_stream, rng.randint(1, 4), DEADLINE)
-    exchange, world, now = Exchange(policy), World(rng, policy), 0.0
+    exchange, targets, now = Exchange(policy), FakeTargets(rng, policy), 0.0
     effect = exchange.start()
     while isinstance(effect, SendTo):
         now += rng.choice([0.0, 0.1, 4.0])
@@ -99,25 +99,25 @@
         if rng.random() < 0.1:
             event = SendFailed(SendFault.NO_TARGET)
         else:
-            event = world.play(exchange, effect, now)
+            event = targets.execute(exchange, effect, now)
         if event is None:
             effect = None
             break
         effect = exchange.handle(event, now, has_budget=rng.random() < 0.8)
-    return exchange, world, effect
+    return exchange, targets, effect
 
 
-def check(exchange, world, effect):
+def check(exchange, targets, effect):
     policy = exchange.policy
     assert exchange.has_ended
     assert exchange.sends <= policy.attempts
     if not policy.may_run_again:
-        assert world.runs <= 1
+        assert targets.runs <= 1
     if isinstance(effect, Refuse):
-        assert not world.has_head
-        assert not world.has_failure
-        if effect.code.http_status in PROMISES:
-            assert world.runs == 0 or policy.may_run_again
+        assert not targets.has_head
+        assert not targets.has_failure
+        if effect.code.http_status in NOT_RUN_STATUSES:
+            assert targets.runs == 0 or policy.may_run_again
             assert effect.retry_after_seconds > 0
         else:
             assert effect.code in (
@@ -125,23 +125,23 @@
                 ResultCode.FORWARD_TIMEOUT,
             )
     if isinstance(effect, ForwardAnswer):
-        assert not world.has_head
+        assert not targets.has_head
     if isinstance(effect, AbortConnection):
-        assert world.has_head
-    assert world.given == list(range(1, len(world.given) + 1))
-    if world.is_whole:
+        assert targets.has_head
+    assert targets.delivered == list(range(1, len(targets.delivered) + 1))
+    if targets.is_whole:
         assert effect is None
-        assert len(world.given) == STREAM_LENGTH
+        assert len(targets.delivered) == STREAM_LENGTH
 
 
 @pytest.mark.parametrize("part", range(RANGES))
-def test_no_seed_breaks_a_promise(part):
-    """A request meets targets that refuse, lose, spoil, fail and stop within a stream.
+def test_no_seed_violates_a_guarantee(part):
+    """Targets refuse, lose connections, send invalid answers, fail or stop midway.
 
-    Whatever the order: what may run once runs once, "not run" is said only of what did
-    not run, there is one terminal answer, and no event is missing or given twice.
+    In any order: a non-idempotent request runs at most once, "not run" is reported only
+    if it did not run, there is one terminal answer, and no event is lost or duplicated.
     """
-    for seed in range(part * SEEDS_A_RANGE, (part + 1) * SEEDS_A_RANGE):
+    for seed in range(part * SEEDS_PER_RANGE, (part + 1) * SEEDS_PER_RANGE):
         try:
             check(*run_one(seed))
         except Exception as err:
@@ -160,8 +160,8 @@
         exchange.handle(TimeOver(), 0.0, True)
 
 
-def test_a_second_send_of_what_may_have_run_is_stopped():
-    """A decision that sends a booking again in error is stopped at its first byte."""
+def test_a_non_idempotent_request_that_may_have_run_is_not_sent_again():
+    """A faulty decision to send it again is stopped before the first byte."""
     exchange = Exchange(ExchangePolicy(False, False, 3, DEADLINE))
     exchange.start()
     exchange.record_sent()
@@ -177,12 +177,12 @@
         TargetAnswered(is_failure=True),
     ],
 )
-def test_a_targets_own_failure_is_given_where_its_repeat_brings_no_answer(event):
-    """The caller got 502 "may have run" where a target had answered 500 itself.
+def test_a_targets_failure_is_forwarded_if_the_retry_produces_no_answer(event):
+    """The caller would get 502 "may have run" although a target has answered 500.
 
-    A target fails a request that may run again, the host decides to repeat it, and no
-    other target is left, or it refuses, is lost or is out of time. The first answer is
-    whole and true: it is held while the request is repeated, and given at the end.
+    A target answers an idempotent request with a failure, the host retries, and there
+    is no other target, or the other one refuses, is lost or times out. The first answer
+    is held during the retry and forwarded at the end.
     """
     exchange = Exchange(ExchangePolicy(True, False, 2, DEADLINE))
     exchange.start()
@@ -199,11 +199,11 @@
     assert effect == ForwardAnswer()
 
 
-def test_a_refusal_for_another_ones_fault_is_no_send_of_the_route():
-    """Engines that leave refuse to help the leader of a long prompt, one by one.
+def test_a_refusal_caused_by_a_helper_does_not_count_as_a_send():
+    """Draining engines refuse one by one to help the leader of a long prompt.
 
-    The leader gets the prompt again, a bounded number of times; after that each
-    refusal counts, and the two targets that the route allows are the most there are.
+    The leader gets the prompt again, a bounded number of times. After that each refusal
+    counts, and no more than the two targets that the route allows are tried.
     """
     policy = ExchangePolicy(True, True, attempts=2, deadline=DEADLINE)
     exchange = Exchange(policy)
@@ -221,13 +221,13 @@
 
 
 @pytest.mark.parametrize(("fault", "returns"), [("LOST", False), ("MOVED", True)])
-def test_only_a_stream_that_left_its_target_goes_back_when_it_is_refused(
+def test_only_a_stream_that_abandoned_a_working_target_returns_when_refused(
     fault, returns
 ):
-    """A stream's engine dies, and the second one that the route allows refuses.
+    """A stream's engine crashes, and the second one that the route allows refuses.
 
-    There is nowhere to go back to: sent on, it would reach a third target. One that
-    left an engine at work has that one.
+    There is no target to return to, and a third one must not be tried. A stream that
+    abandoned a working engine returns to that one.
     """
     exchange = Exchange(ExchangePolicy(True, True, attempts=2, deadline=DEADLINE))
     exchange.start()
@@ -241,12 +241,11 @@
 
 
 @pytest.mark.parametrize("fault", [SendFault.LOST, SendFault.NOT_CONNECTED])
-def test_a_stream_that_is_lost_goes_back_once_and_to_no_third_target(fault):
-    """A stream left its target for one that crashed; what it left has crashed too.
+def test_a_lost_stream_returns_once_and_is_sent_to_no_third_target(fault):
+    """A stream abandons its target for one that crashes, and the first has crashed too.
 
-    It goes back to the one that it left, as that was at work. Where that brings nothing
-    the route's two targets are used up, and a third one would run it beyond what the
-    operator allows.
+    The stream returns to the abandoned target, which was still working. If that fails
+    as well, the route's two targets are used up, and no third target may be tried.
     """
     exchange = Exchange(ExchangePolicy(True, True, attempts=2, deadline=DEADLINE))
     exchange.start()
--- a/libraries/requests/tests/test_suspects.py
+++ b/libraries/requests/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of which requests are held to crash targets."""
+"""Tests of detecting requests that crash their targets."""
 
 import random
 
@@ -27,30 +27,30 @@
         ([1, 2, 3], Verdict.REFUSED),
     ],
 )
-def test_distinct_targets_count(crashes, verdict):
+def test_distinct_crashed_targets_decide_the_verdict(crashes, verdict):
     assert make_tracker(*crashes).evaluate(ONE, 1.0) is verdict
 
 
-def test_an_isolated_host_lets_a_request_rest_after_one_crash():
-    """Hosts that hear nobody each counted to three, together beyond what is allowed."""
+def test_an_isolated_host_delays_a_request_after_one_crash():
+    """Isolated hosts that each allow three crashes exceed the limit together."""
     tracker = make_tracker(1, now=5.0)
-    ends = 5.0 + c.ISOLATED_HOST_RETRY_DELAY_SECONDS
+    retry_at = 5.0 + c.ISOLATED_HOST_RETRY_DELAY_SECONDS
     assert tracker.evaluate(ONE, 5.1, is_host_isolated=True) is Verdict.LATER
-    assert tracker.get_wait_seconds(ONE, 5.5, is_host_isolated=True) == ends - 5.5
-    assert tracker.evaluate(ONE, ends, is_host_isolated=True) is Verdict.CLEAR
+    assert tracker.get_wait_seconds(ONE, 5.5, is_host_isolated=True) == retry_at - 5.5
+    assert tracker.evaluate(ONE, retry_at, is_host_isolated=True) is Verdict.CLEAR
     assert tracker.evaluate(ONE, 5.1) is Verdict.CLEAR
     assert tracker.evaluate(OTHER, 5.1, is_host_isolated=True) is Verdict.CLEAR
 
 
-def test_an_isolated_host_takes_its_peers_word_of_a_crash_for_no_reason_to_wait():
-    """What peers told before they fell silent is as old as their silence."""
+def test_an_isolated_host_does_not_wait_after_a_crash_reported_by_peers():
+    """What peers reported before contact was lost is as old as the isolation."""
     tracker = make_tracker()
     assert not tracker.merge(make_tracker(1).build_entry(ONE, 0.0), 0.0)
     assert tracker.evaluate(ONE, 0.1, is_host_isolated=True) is Verdict.CLEAR
 
 
-def test_a_whole_answer_acquits():
-    """A request that was beside crashes three times must not be refused for good."""
+def test_a_complete_answer_clears_a_suspect():
+    """A request that ran beside three crashes must not be refused for good."""
     tracker = make_tracker(1, 2, 3)
     assert tracker.record_answered(ONE, 1.0)
     assert tracker.evaluate(ONE, 1.0) is Verdict.CLEAR
@@ -59,8 +59,8 @@
     assert tracker.evaluate(ONE, 2.0) is Verdict.REFUSED
 
 
-def test_victims_of_another_request_are_no_suspects():
-    """A request that was twice beside the one that crashes targets is sent as usual."""
+def test_crashes_explained_by_a_worse_suspect_do_not_count():
+    """A request that ran twice beside the one that crashes targets is sent normally."""
     tracker = make_tracker(1, 2, 3)
     for target in (2, 3):
         tracker.record_crash(OTHER, 10, target, 0.0)
@@ -68,16 +68,16 @@
     assert tracker.evaluate(ONE, 1.0) is Verdict.REFUSED
 
 
-def test_two_that_ended_the_same_targets_do_not_excuse_each_other():
-    """Were both excused, the one that crashes targets would be sent on and on."""
+def test_two_suspects_of_the_same_crashes_do_not_explain_each_other():
+    """If both were excused, the one that crashes targets would never be refused."""
     tracker = make_tracker(1, 2, 3)
     for target in (1, 2, 3):
         tracker.record_crash(OTHER, 10, target, 0.0)
     assert tracker.evaluate(ONE, 1.0) is tracker.evaluate(OTHER, 1.0) is Verdict.REFUSED
 
 
-def test_one_trial_at_a_time():
-    """Hosts that all try a suspect at once would end as many targets."""
+def test_one_isolated_attempt_at_a_time():
+    """Hosts that all try a suspect at once would each crash a target."""
     tracker = make_tracker(1, 2)
     tracker.begin_isolated_attempt(ONE, 1.0)
     peer = SuspectTracker()
@@ -87,7 +87,7 @@
     assert peer.evaluate(ONE, 1.1 + c.ISOLATED_ATTEMPT_SECONDS) is Verdict.ALONE
 
 
-def test_an_entry_travels_whole():
+def test_an_entry_survives_packing_and_unpacking():
     tracker = make_tracker(1, 2)
     entry = tracker.build_entry(ONE, 0.5)
     assert SuspectEntry.unpack(entry.pack()) == entry
@@ -104,13 +104,13 @@
         (ONE, True, [], [], 0, 0),
     ],
 )
-def test_a_malformed_entry_is_refused(item):
+def test_a_malformed_entry_is_rejected(item):
     with pytest.raises(ValueError):
         SuspectEntry.unpack(item)
 
 
-def test_hosts_agree_in_whatever_order_they_hear():
-    """Words that are lost, doubled or late must not leave hosts with other verdicts."""
+def test_merging_does_not_depend_on_order_or_duplicates():
+    """Duplicated or reordered messages must not leave hosts with different verdicts."""
     rng = random.Random(1)
     entries = [make_tracker(target).build_entry(ONE, 0.0) for target in range(4)]
     cleared = make_tracker(8, 9, now=-2.0)
@@ -125,8 +125,8 @@
     assert counts == {4}
 
 
-def test_an_acquittal_clears_no_later_crash_however_often_it_is_told():
-    """Times that are told to and fro drift: what was lifted would stay lifted."""
+def test_clearing_does_not_apply_to_later_crashes_however_often_relayed():
+    """Relayed ages drift, so clearing by time would also clear later crashes."""
     tracker, peer = make_tracker(1, 2, 3), SuspectTracker()
     tracker.clear(ONE, 1.0)
     for target in (4, 5, 6):
@@ -138,15 +138,15 @@
     assert tracker.evaluate(ONE, 2.0) is peer.evaluate(ONE, 2.0) is Verdict.REFUSED
 
 
-def test_hosts_that_know_a_crash_each_know_both_together():
+def test_merged_crashes_of_two_hosts_give_a_new_verdict():
     tracker = make_tracker(1)
     assert not tracker.merge(make_tracker(1).build_entry(ONE, 0.0), 0.0)
     assert tracker.merge(make_tracker(2).build_entry(ONE, 0.0), 0.0)
     assert tracker.evaluate(ONE, 0.0) is Verdict.ALONE
 
 
-def test_hosts_that_keep_other_targets_of_many_do_not_tell_for_good():
-    """Each word would be news to the other, and go to all hosts: a storm."""
+def test_hosts_that_keep_different_crashes_do_not_relay_forever():
+    """Each message would be news to the other host and be relayed: a gossip storm."""
     many = c.MAX_CRASHES_PER_SUSPECT
     one, other = make_tracker(*range(many)), make_tracker(*range(many, many + 5))
     for _ in range(5):
@@ -155,8 +155,8 @@
     assert one.evaluate(ONE, 0.0) is other.evaluate(ONE, 0.0) is Verdict.REFUSED
 
 
-def test_memory_is_bounded_and_keeps_the_worst():
-    """A flood of new identities must not make hosts forget what is refused."""
+def test_memory_is_bounded_and_keeps_the_suspects_with_most_crashes():
+    """A flood of new fingerprints must not evict requests that are refused."""
     tracker = make_tracker(1, 2, 3)
     for number in range(2 * c.MAX_SUSPECTS):
         tracker.record_crash(
@@ -166,7 +166,7 @@
     assert tracker.evaluate(ONE, 2.0) is Verdict.REFUSED
 
 
-def test_what_is_asked_still_is_refused_still_and_forgotten_after():
+def test_a_refusal_renews_the_retention_of_a_suspect():
     tracker = make_tracker(1, 2, 3)
     tracker.record_refused(ONE, 3_000.0)
     tracker.expire(c.REFUSED_RETENTION_SECONDS + 1.0)
@@ -176,7 +176,7 @@
     assert not tracker.may_contain(10)
 
 
-def test_requests_of_other_sizes_need_no_hash():
+def test_requests_of_other_body_sizes_need_no_hash():
     tracker = make_tracker(1)
     assert tracker.may_contain(10)
     assert not tracker.may_contain(11)
