--- a/libraries/bench/tarragonward_bench/experiment/fleet.py
+++ b/libraries/bench/tarragonward_bench/experiment/fleet.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from tarragonward_membership import const as membership_const
-from tarragonward_placement import Located, PromptNeed, choose_cell
+from tarragonward_placement import LocatedMember, PromptRequirements, choose_cell
 
 from .arrivals import Arrival, Outcome
 from .calls import CallService
@@ -126,11 +126,13 @@
 
     def _divide(self) -> None:
         """Give each host its cell: whom it tells, and the engines that it uses."""
-        hosts = [Located(str(n), host.zone) for n, host in enumerate(self.hosts)]
-        engines = [Located(node.name, node.zone) for node in self.engines.values()]
+        hosts = [LocatedMember(str(n), host.zone) for n, host in enumerate(self.hosts)]
+        engines = [
+            LocatedMember(node.name, node.zone) for node in self.engines.values()
+        ]
         for number, host in enumerate(self.hosts):
             cell = choose_cell(hosts[number], hosts, engines)
-            if cell.is_whole:
+            if cell.covers_fleet:
                 return
             host.policy.cell = cell.engines
             if host.policy.book is not None:
@@ -221,7 +223,9 @@
         assert book is not None
         return lambda: book.apply_digest(str(number), digest, age, self.now)
 
-    def choose(self, host: Host, need: PromptNeed, tried: set[str]) -> Sending | None:
+    def choose(
+        self, host: Host, need: PromptRequirements, tried: set[str]
+    ) -> Sending | None:
         """Let a host decide, and count what it took."""
         began = time.thread_time()
         sending = host.policy.choose(need, tried, self.now)
--- a/libraries/bench/tarragonward_bench/experiment/policies.py
+++ b/libraries/bench/tarragonward_bench/experiment/policies.py
@@ -13,7 +13,7 @@
     FleetUsageTracker,
     InFlightPrompt,
     PrefillPlan,
-    PromptNeed,
+    PromptRequirements,
     const,
     plan_prefill,
     widen_plan,
@@ -65,7 +65,7 @@
     cell: Collection[str] | None
 
     def choose(
-        self, need: PromptNeed, tried: Collection[str], now: float
+        self, need: PromptRequirements, tried: Collection[str], now: float
     ) -> Sending | None:
         """Return where to send, or None where no engine is left."""
 
@@ -85,7 +85,7 @@
         self._next = rng.randrange(len(engines))
 
     def choose(
-        self, need: PromptNeed, tried: Collection[str], now: float
+        self, need: PromptRequirements, tried: Collection[str], now: float
     ) -> Sending | None:
         for _ in self._engines:
             self._next = (self._next + 1) % len(self._engines)
@@ -109,7 +109,7 @@
         self._in_flight: Counter[str] = Counter()
 
     def choose(
-        self, need: PromptNeed, tried: Collection[str], now: float
+        self, need: PromptRequirements, tried: Collection[str], now: float
     ) -> Sending | None:
         names = [name for name in self._engines if name not in tried]
         draw = self._rng.random
@@ -148,7 +148,7 @@
     """The engine that by prediction reads the prompt first, alone."""
 
     def choose(
-        self, need: PromptNeed, tried: Collection[str], now: float
+        self, need: PromptRequirements, tried: Collection[str], now: float
     ) -> Sending | None:
         known = self.book.get_usage(now)
         reads = self._model.compute_read_seconds(need.prompt_tokens)
@@ -180,7 +180,7 @@
     """What a host of the product decides; cell has the engines it uses at first."""
 
     def choose(
-        self, need: PromptNeed, tried: Collection[str], now: float
+        self, need: PromptRequirements, tried: Collection[str], now: float
     ) -> Sending | None:
         names = [name for name in self._engines if name not in tried]
         known = self.book.get_usage(now)
--- a/libraries/bench/tarragonward_bench/experiment/prompt.py
+++ b/libraries/bench/tarragonward_bench/experiment/prompt.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from tarragonward_gateway import const as gateway_const
-from tarragonward_placement import PromptNeed
+from tarragonward_placement import PromptRequirements
 from tarragonward_standins.platform_engine import PassWork
 
 from .arrivals import Outcome
@@ -43,7 +43,9 @@
     site: Site
     hears_counts: bool
 
-    def choose(self, host: Host, need: PromptNeed, tried: set[str]) -> Sending | None:
+    def choose(
+        self, host: Host, need: PromptRequirements, tried: set[str]
+    ) -> Sending | None:
         """Let a host decide."""
 
     def after(self, seconds: float, action: Callable[[], None]) -> None:
@@ -72,7 +74,7 @@
         fleet, arrival = self._fleet, self._outcome.arrival
         site, kind = fleet.site, self._kind
         answer = arrival.events * site.event_tokens
-        need = PromptNeed(
+        need = PromptRequirements(
             prompt_tokens=arrival.prompt_tokens,
             output_tokens=answer,
             aim_seconds=arrival.at + kind.aim_ms / 1_000 - fleet.now,
--- a/libraries/bench/tarragonward_bench/harm/limits.py
+++ b/libraries/bench/tarragonward_bench/harm/limits.py
@@ -83,7 +83,7 @@
     def note_answer(self, target: _Target, rate: float | None) -> None:
         if not self.wake_at(self.note_answer, target, rate):
             return
-        if self.limits.note_named(target.number, rate, self.world.now):
+        if self.limits.record_advertised(target.number, rate, self.world.now):
             self.gossip.record_change(target.number)
             self.world.after(gateway_const.LIMIT_BATCH_SECONDS, self._tell)
         if rate is not None:
--- a/libraries/bench/tarragonward_bench/hearing/host.py
+++ b/libraries/bench/tarragonward_bench/hearing/host.py
@@ -46,7 +46,7 @@
     SendHello,
 )
 from tarragonward_membership.const import HELLO_INTERVAL_SECONDS
-from tarragonward_placement import Located
+from tarragonward_placement import LocatedMember
 from tarragonward_wire import const as wire_const
 
 from .transfers import RecordSizes, Transfer, Transfers
@@ -387,10 +387,10 @@
         self._world.after(wait, self._round)
 
     def _set_mates(self) -> None:
-        own, now = Located(str(self.address), self.domain), self._world.now
+        own, now = LocatedMember(str(self.address), self.domain), self._world.now
         others = [
             KnownHost(
-                Located(str(peer.identity.address), peer.failure_domain),
+                LocatedMember(str(peer.identity.address), peer.failure_domain),
                 now - peer.last_seen_at,
             )
             for peer in self.members.get_peers()
--- a/libraries/bench/tarragonward_bench/lengths/loading.py
+++ b/libraries/bench/tarragonward_bench/lengths/loading.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tarragonward_placement.loads import (
-    EngineLoad,
+    PendingModelLoad,
     choose_loads,
     count_parallel_loads,
 )
@@ -18,7 +18,8 @@
 def run_loads(parallel: int, sizes: WeightStoreSizes) -> list[float]:
     """Return when each engine was loaded, in order, in seconds."""
     wanted = [
-        EngineLoad(f"engine-{n:02}", f"domain-{n % DOMAINS}") for n in range(ENGINES)
+        PendingModelLoad(f"engine-{n:02}", f"domain-{n % DOMAINS}")
+        for n in range(ENGINES)
     ]
     store = WeightStoreModel(sizes)
     loaded: dict[str, float] = {}
--- a/libraries/bench/tests/test_harm.py
+++ b/libraries/bench/tests/test_harm.py
@@ -45,7 +45,7 @@
 def test_hosts_that_each_take_the_whole_limit_are_found_out(monkeypatch):
     """Each host keeps to the limit by itself, and all together exceed it."""
     monkeypatch.setattr(
-        target_limits, "compute_part", lambda number, rate, view: 0.9 * rate
+        target_limits, "compute_host_share", lambda number, rate, view: 0.9 * rate
     )
     with pytest.raises(AssertionError, match="a second"):
         LimitRun(LimitPlan(hosts=40, requests_a_second=400.0), 1).run()
--- a/libraries/daemon/tarragonward_daemon/loads.py
+++ b/libraries/daemon/tarragonward_daemon/loads.py
@@ -8,7 +8,7 @@
 
 from tarragonward_config import EngineOrder, EngineOrderState, Target
 from tarragonward_core import TargetError
-from tarragonward_placement import EngineLoad, choose_loads
+from tarragonward_placement import PendingModelLoad, choose_loads
 
 from .core import HostState
 
@@ -51,7 +51,7 @@
         domains = {configuration.targets[name].failure_domain for name in orders}
         limit = math.ceil(configuration.parallel_loads / len(domains))
         wanted = [
-            EngineLoad(name, engine.failure_domain)
+            PendingModelLoad(name, engine.failure_domain)
             for name in orders
             if configuration.targets[name].failure_domain == engine.failure_domain
         ]
--- a/libraries/gateway/tarragonward_gateway/cells.py
+++ b/libraries/gateway/tarragonward_gateway/cells.py
@@ -6,7 +6,7 @@
 
 from tarragonward_core import Address, log_event
 from tarragonward_membership import RegisteredTarget
-from tarragonward_placement import Cell, Located, choose_cell
+from tarragonward_placement import Cell, LocatedMember, choose_cell
 
 from . import const as c
 from .clock import read_clock
@@ -43,7 +43,7 @@
                 service=service,
                 hosts=len(new.hosts),
                 engines=len(new.engines),
-                whole=new.is_whole,
+                whole=new.covers_fleet,
             )
         self._cells[service] = now, new
         if new != cell:
@@ -75,9 +75,9 @@
         engines = [_locate(target) for target in ready]
         return choose_cell(self._get_own_location(), hosts, engines)
 
-    def _get_own_location(self) -> Located:
+    def _get_own_location(self) -> LocatedMember:
         settings = self._state.settings
-        return Located(str(settings.peers), settings.failure_domain)
+        return LocatedMember(str(settings.peers), settings.failure_domain)
 
     def _list_hosts(self) -> list[KnownHost]:
         now = read_clock()
@@ -85,7 +85,7 @@
         # address.
         return [
             KnownHost(
-                Located(str(peer.identity.address), peer.failure_domain),
+                LocatedMember(str(peer.identity.address), peer.failure_domain),
                 now - peer.last_seen_at,
             )
             for peer in self._peers.members.get_peers()
@@ -93,5 +93,5 @@
         ]
 
 
-def _locate(target: RegisteredTarget) -> Located:
-    return Located(target.id, target.failure_domain)
+def _locate(target: RegisteredTarget) -> LocatedMember:
+    return LocatedMember(target.id, target.failure_domain)
--- a/libraries/gateway/tarragonward_gateway/limit_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/limit_gossip.py
@@ -47,6 +47,6 @@
         """Apply the entries of another host; raise ValueError if one is malformed."""
         for item in data:
             entry = LimitEntry.unpack(item)
-            if self._limits.take(entry, now, age):
+            if self._limits.apply_entry(entry, now, age):
                 # The other host has already sent this limit to all hosts.
                 self._pending.pop(entry.number, None)
--- a/libraries/gateway/tarragonward_gateway/moving.py
+++ b/libraries/gateway/tarragonward_gateway/moving.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tarragonward_placement import EngineUsage, gains_by_moving, predict_wait
+from tarragonward_placement import EngineUsage, predict_event_wait, should_migrate
 from tarragonward_requests import Exchange
 
 from . import const as c
@@ -97,11 +97,11 @@
         assert plan is not None
         if plan.reserved_tokens:
             return False
-        waits = predict_wait(work, plan.pass_seconds)
+        waits = predict_event_wait(work, plan.pass_seconds)
         limit = need.aim_at - self._loop.time()
-        if not gains_by_moving(waits, 0.0, limit):
+        if not should_migrate(waits, 0.0, limit):
             return False
         other = self._chooser.find_alternative(need)
         if other is None or other.plan is None or other.plan.reserved_tokens:
             return False
-        return gains_by_moving(waits, other.plan.first_event_seconds, limit)
+        return should_migrate(waits, other.plan.first_event_seconds, limit)
--- a/libraries/gateway/tarragonward_gateway/polling.py
+++ b/libraries/gateway/tarragonward_gateway/polling.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from tarragonward_placement import Located, divide_hosts
+from tarragonward_placement import LocatedMember, partition_hosts
 from tarragonward_placement.const import MAX_SINGLE_CELL_HOSTS
 
 from . import const as c
@@ -17,7 +17,7 @@
 class KnownHost:
     """A host by its address, where it is, and how long ago anyone heard it."""
 
-    located: Located
+    located: LocatedMember
     silent_seconds: float = 0.0
 
 
@@ -37,7 +37,9 @@
     group_fraction: float = 0.0
 
 
-def choose_polling_order(own: Located, others: Iterable[KnownHost]) -> PollingOrder:
+def choose_polling_order(
+    own: LocatedMember, others: Iterable[KnownHost]
+) -> PollingOrder:
     """Return a host's place; others are the hosts known to be there, without it.
 
     Each change wakes every watch. Symptom: calls grow with hosts times changes. So in
@@ -48,7 +50,7 @@
     known[own.name] = KnownHost(own)
     if len(known) <= MAX_SINGLE_CELL_HOSTS:
         return PollingOrder(len(known), sum(name < own.name for name in known))
-    parts = divide_hosts(host.located for host in known.values())
+    parts = partition_hosts(host.located for host in known.values())
     number = next(n for n, part in enumerate(parts) if own.name in part)
     awake = [
         name
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -19,7 +19,7 @@
     HostView,
     InFlightPrompt,
     PrefillPlan,
-    PromptNeed,
+    PromptRequirements,
     TargetHealthTracker,
     TargetLimits,
     plan_prefill,
@@ -158,7 +158,7 @@
 
     def cancel_send(self, target: RegisteredTarget) -> None:
         """Undo the record of a send to a target that was chosen and sent nothing."""
-        self.limits.return_send(hash_name(target.id))
+        self.limits.refund_send(hash_name(target.id))
 
     def compute_wait(self, need: TargetNeed) -> float | None:
         """Return the seconds until a rate-limited target accepts a request.
@@ -326,7 +326,7 @@
     def record_limit(self, target: RegisteredTarget, text: str | None) -> None:
         """Record the requests per second that a target's answer allows, if it does."""
         number, rate = hash_name(target.id), parse_rate(text)
-        if self.limits.note_named(number, rate, read_clock()):
+        if self.limits.record_advertised(number, rate, read_clock()):
             log_event("target_limit", target=target.id, requests_per_second=rate)
             for notify in self.on_limit:
                 notify(number)
@@ -345,8 +345,8 @@
         if self.get_cell is None or need.tried:
             return ready
         cell = self.get_cell(need.service)
-        self.book.announces_every_prompt = not cell.is_whole
-        if cell.is_whole:
+        self.book.announces_every_prompt = not cell.covers_fleet
+        if cell.covers_fleet:
             return ready
         return [target for target in ready if target.id in cell.engines] or ready
 
@@ -368,7 +368,7 @@
             if service.engine is None or not self.allows_cross_cell(service.name):
                 continue
             cell = self.get_cell(service.name)
-            if not cell.is_whole:
+            if not cell.covers_fleet:
                 summary |= self.book.build_summary(cell.engines, self._clock())
         return summary or None
 
@@ -381,7 +381,7 @@
     ) -> SendChoice | None:
         assert need.tokens is not None and service.engine is not None
         now = self._clock()
-        prompt = PromptNeed(
+        prompt = PromptRequirements(
             prompt_tokens=need.tokens[0],
             output_tokens=need.tokens[1],
             aim_seconds=need.aim_at - now,
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -12,12 +12,12 @@
 from tarragonward_gateway.targets import SECTION as PROMPTS_SECTION
 from tarragonward_gateway.targets import TargetChooser
 from tarragonward_membership import Hello, HelloReceived
-from tarragonward_placement import PrefillPlan, PromptNeed
+from tarragonward_placement import PrefillPlan, PromptRequirements
 from tarragonward_placement import const as placement_const
 from tarragonward_routes import CallerLimits, EngineModel, RoutingTable, Service
 
 MATE, FAR = Address("10.0.0.1", 1), Address("10.0.0.2", 1)
-LONG = PromptNeed(260_000, 700, 4.0, 1.0)
+LONG = PromptRequirements(260_000, 700, 4.0, 1.0)
 SIZE = 400
 ENGINE = EngineModel(8, 450_000, 46, 2_048, 0.001, 0.00001, 3e-9, 256_000.0, 9e-11)
 
--- a/libraries/gateway/tests/test_polling.py
+++ b/libraries/gateway/tests/test_polling.py
@@ -17,7 +17,7 @@
     Watch,
 )
 from tarragonward_gateway.polling import KnownHost, PollingOrder, choose_polling_order
-from tarragonward_placement import Located
+from tarragonward_placement import LocatedMember
 from tarragonward_placement.const import MAX_SINGLE_CELL_HOSTS
 
 DOMAINS = ("a", "b", "c")
@@ -26,7 +26,7 @@
 
 
 def build_hosts(count):
-    return [Located(f"10.0.{n}.1:7000", DOMAINS[n % 3]) for n in range(count)]
+    return [LocatedMember(f"10.0.{n}.1:7000", DOMAINS[n % 3]) for n in range(count)]
 
 
 def choose_all(hosts, silent=()):
--- a/libraries/placement/tarragonward_placement/__init__.py
+++ b/libraries/placement/tarragonward_placement/__init__.py
@@ -1,7 +1,7 @@
 """Decisions, without I/O, about where prompts run and which are admitted."""
 
 from .affinity import CacheUpdate, PrefixIndex, hash_blocks
-from .cells import Cell, Located, choose_cell, divide_hosts
+from .cells import Cell, LocatedMember, choose_cell, partition_hosts
 from .const import (
     BLOCK_TOKENS,
     DEFAULT_PREFILL_TOKENS_PER_SECOND,
@@ -20,7 +20,7 @@
     RetryGroup,
 )
 from .limits import AccountLimits, share_by_weight
-from .loads import EngineLoad, choose_loads, count_parallel_loads
+from .loads import PendingModelLoad, choose_loads, count_parallel_loads
 from .messages import (
     EngineView,
     FleetView,
@@ -30,7 +30,7 @@
     Refused,
 )
 from .placement import Placement
-from .places import PromptNeed
+from .places import PromptRequirements
 from .reach import (
     DomainEjected,
     DomainRestored,
@@ -40,15 +40,15 @@
     TargetRestored,
 )
 from .readings import PrefillPlan, plan_prefill
-from .relocation import gains_by_moving, predict_wait
-from .target_limits import HostView, LimitEntry, TargetLimits, compute_part
+from .relocation import predict_event_wait, should_migrate
+from .target_limits import HostView, LimitEntry, TargetLimits, compute_host_share
 from .widening import widen_plan
 
 __all__ = [
     "HostView",
     "LimitEntry",
     "TargetLimits",
-    "compute_part",
+    "compute_host_share",
     "TargetRestored",
     "TargetEjected",
     "Evidence",
@@ -59,7 +59,7 @@
     "CacheUpdate",
     "Cell",
     "DEFAULT_PREFILL_TOKENS_PER_SECOND",
-    "EngineLoad",
+    "PendingModelLoad",
     "EngineView",
     "EngineUsage",
     "FIRST_LONG_PRIORITY",
@@ -69,13 +69,13 @@
     "GroupMember",
     "GroupReady",
     "GroupReservation",
-    "Located",
+    "LocatedMember",
     "Placed",
     "Placement",
     "PlacementPolicy",
     "PlacementRequest",
     "PrefixIndex",
-    "PromptNeed",
+    "PromptRequirements",
     "InFlightPrompt",
     "PrefillPlan",
     "Refused",
@@ -86,13 +86,13 @@
     "RetryGroup",
     "TargetHealthTracker",
     "choose_cell",
-    "divide_hosts",
+    "partition_hosts",
     "choose_loads",
     "count_parallel_loads",
     "hash_blocks",
-    "gains_by_moving",
+    "should_migrate",
     "plan_prefill",
-    "predict_wait",
+    "predict_event_wait",
     "share_by_weight",
     "widen_plan",
 ]
--- a/libraries/placement/tarragonward_placement/cells.py
+++ b/libraries/placement/tarragonward_placement/cells.py
@@ -9,11 +9,11 @@
 
 from . import const as c
 
-__all__ = ["Cell", "Located", "choose_cell", "divide_hosts"]
+__all__ = ["Cell", "LocatedMember", "choose_cell", "partition_hosts"]
 
 
 @dataclass(frozen=True)
-class Located:
+class LocatedMember:
     """A host or an engine by name, and the failure domain that it is in."""
 
     name: str
@@ -24,16 +24,16 @@
 class Cell:
     """The hosts that tell each other all they do, and the engines that they use.
 
-    is_whole is set where that is the whole fleet.
+    covers_fleet is set where that is the whole fleet.
     """
 
     hosts: frozenset[str]
     engines: frozenset[str]
-    is_whole: bool
+    covers_fleet: bool
 
 
 def choose_cell(
-    own: Located, hosts: Iterable[Located], engines: Iterable[Located]
+    own: LocatedMember, hosts: Iterable[LocatedMember], engines: Iterable[LocatedMember]
 ) -> Cell:
     """Return the cell of one host; hosts are those known to be there, it among them.
 
@@ -48,26 +48,26 @@
     if len(members) <= c.MAX_SINGLE_CELL_HOSTS:
         return Cell(frozenset(members), frozenset(e.name for e in known), True)
     domains = sorted({host.failure_domain for host in members.values()})
-    near_hosts = _order(
+    domain_hosts = _order_by_hash(
         host.name
         for host in members.values()
         if host.failure_domain == own.failure_domain
     )
-    near_engines = _order(
+    domain_engines = _order_by_hash(
         engine.name
         for engine in known
         if _find_domain(engine, domains) == own.failure_domain
     )
-    count = _count_cells(len(near_hosts), len(near_engines))
-    place = near_hosts.index(own.name) * count // len(near_hosts)
+    count = _count_cells(len(domain_hosts), len(domain_engines))
+    cell_index = domain_hosts.index(own.name) * count // len(domain_hosts)
     return Cell(
-        frozenset(_take_part(near_hosts, place, count)),
-        frozenset(_take_part(near_engines, place, count)),
-        is_whole=False,
+        frozenset(_take_slice(domain_hosts, cell_index, count)),
+        frozenset(_take_slice(domain_engines, cell_index, count)),
+        covers_fleet=False,
     )
 
 
-def divide_hosts(hosts: Iterable[Located]) -> list[tuple[str, ...]]:
+def partition_hosts(hosts: Iterable[LocatedMember]) -> list[tuple[str, ...]]:
     """Return the hosts of each failure domain in groups of about CELL_HOSTS.
 
     All hosts that know the same ones return the same parts, and order them alike.
@@ -75,12 +75,12 @@
     domains: dict[str, list[str]] = {}
     for host in hosts:
         domains.setdefault(host.failure_domain, []).append(host.name)
-    parts = []
+    groups = []
     for _, names in sorted(domains.items()):
-        ordered = _order(names)
+        ordered = _order_by_hash(names)
         count = max(1, round(len(ordered) / c.CELL_HOSTS))
-        parts += [tuple(_take_part(ordered, n, count)) for n in range(count)]
-    return parts
+        groups += [tuple(_take_slice(ordered, n, count)) for n in range(count)]
+    return groups
 
 
 def _count_cells(hosts: int, engines: int) -> int:
@@ -93,23 +93,25 @@
     return max(1, min(count, engines // c.MIN_CELL_ENGINES))
 
 
-def _find_domain(engine: Located, domains: Sequence[str]) -> str:
+def _find_domain(engine: LocatedMember, domains: Sequence[str]) -> str:
     """Return the domain whose hosts use an engine: its own, if any host is there."""
     if engine.failure_domain in domains:
         return engine.failure_domain
-    return domains[int.from_bytes(_hash(engine.name)[:4]) % len(domains)]
+    return domains[int.from_bytes(_hash_name(engine.name)[:4]) % len(domains)]
 
 
-def _take_part(names: Sequence[str], place: int, count: int) -> list[str]:
-    whole = len(names)
-    return [name for rank, name in enumerate(names) if rank * count // whole == place]
+def _take_slice(names: Sequence[str], cell_index: int, count: int) -> list[str]:
+    total = len(names)
+    return [
+        name for rank, name in enumerate(names) if rank * count // total == cell_index
+    ]
 
 
-def _order(names: Iterable[str]) -> list[str]:
+def _order_by_hash(names: Iterable[str]) -> list[str]:
     """Return names in an order that all hosts share and that mixes neighbours."""
-    return sorted(names, key=_hash)
+    return sorted(names, key=_hash_name)
 
 
 @lru_cache(c.HASH_CACHE_SIZE)
-def _hash(name: str) -> bytes:
+def _hash_name(name: str) -> bytes:
     return hashlib.blake2b(name.encode(), digest_size=8).digest()
--- a/libraries/placement/tarragonward_placement/lanes.py
+++ b/libraries/placement/tarragonward_placement/lanes.py
@@ -11,15 +11,15 @@
 from .messages import EngineView
 
 __all__ = [
-    "ShortBudget",
-    "get_lane",
-    "get_lane_order",
-    "get_treatment",
-    "is_reading_long",
+    "ShortPromptBudget",
+    "get_long_pool",
+    "get_pool_order",
+    "classify_prompt",
+    "has_long_prefill",
 ]
 
 
-def get_treatment(prompt_tokens: int) -> tuple[int, int, int]:
+def classify_prompt(prompt_tokens: int) -> tuple[int, int, int]:
     """Return the length class, engine priority and chunk tokens of a prompt."""
     for index, (limit, priority, chunk) in enumerate(c.LENGTH_CLASSES):
         if prompt_tokens <= limit:
@@ -27,12 +27,12 @@
     raise ValueError(f"no treatment for {prompt_tokens} tokens")
 
 
-def is_reading_long(view: EngineView) -> bool:
+def has_long_prefill(view: EngineView) -> bool:
     """Return whether an engine reports long prompts that it still reads."""
     return view.queued_long_tokens > 0
 
 
-def get_lane(
+def get_long_pool(
     views: Sequence[EngineView], share: float, min_engines: int = 1
 ) -> list[EngineView]:
     """Return the engines that long prompts may use, in an order all hosts share.
@@ -41,12 +41,12 @@
     As all hosts fill it from its start, the rest never meet a long prompt as long as
     the start can take them.
     """
-    ordered = sorted(views, key=get_lane_order)
+    ordered = sorted(views, key=get_pool_order)
     most = max(math.floor(len(views) * share), min_engines)
     return ordered[:most]
 
 
-def get_lane_order(view: EngineView) -> tuple[int, str]:
+def get_pool_order(view: EngineView) -> tuple[int, str]:
     """Return the place of an engine in the order that all hosts share."""
     return zlib.crc32(view.name.encode()), view.name
 
@@ -57,7 +57,7 @@
     filled_at: float
 
 
-class ShortBudget:
+class ShortPromptBudget:
     """Limit the short prompts that this host sends to engines with long prefills.
 
     Short prompts have priority on an engine, so an unlimited load of them would starve
--- a/libraries/placement/tarragonward_placement/loads.py
+++ b/libraries/placement/tarragonward_placement/loads.py
@@ -7,11 +7,11 @@
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass
 
-__all__ = ["EngineLoad", "choose_loads", "count_parallel_loads"]
+__all__ = ["PendingModelLoad", "choose_loads", "count_parallel_loads"]
 
 
 @dataclass(frozen=True)
-class EngineLoad:
+class PendingModelLoad:
     """An engine that wants its model, as published."""
 
     engine: str
@@ -26,7 +26,7 @@
 
 
 def choose_loads(
-    wanted: Sequence[EngineLoad], loaded: Collection[str], parallel: int
+    pending: Sequence[PendingModelLoad], loaded: Collection[str], parallel: int
 ) -> list[str]:
     """Return the engines that may load now.
 
@@ -36,17 +36,17 @@
     asking each other. The order goes round the failure domains, so that each can
     serve early, cut off or not.
     """
-    waiting = [load for load in _order(wanted) if load.engine not in loaded]
+    waiting = [load for load in _order(pending) if load.engine not in loaded]
     return [load.engine for load in waiting[:parallel]]
 
 
-def _order(wanted: Sequence[EngineLoad]) -> list[EngineLoad]:
-    by_domain: dict[str, list[EngineLoad]] = defaultdict(list)
-    for load in sorted(wanted, key=lambda load: load.engine):
+def _order(pending: Sequence[PendingModelLoad]) -> list[PendingModelLoad]:
+    by_domain: dict[str, list[PendingModelLoad]] = defaultdict(list)
+    for load in sorted(pending, key=lambda load: load.engine):
         by_domain[load.failure_domain].append(load)
     places = {
         load.engine: place
         for loads in by_domain.values()
         for place, load in enumerate(loads)
     }
-    return sorted(wanted, key=lambda load: (places[load.engine], load.failure_domain))
+    return sorted(pending, key=lambda load: (places[load.engine], load.failure_domain))
--- a/libraries/placement/tarragonward_placement/messages.py
+++ b/libraries/placement/tarragonward_placement/messages.py
@@ -88,7 +88,7 @@
 
     uses_prediction: bool = True
     uses_sampling: bool = True
-    uses_lane: bool = True
+    uses_long_pool: bool = True
     uses_chunks: bool = True
     uses_affinity: bool = True
     uses_admission: bool = True
--- a/libraries/placement/tarragonward_placement/outlook.py
+++ b/libraries/placement/tarragonward_placement/outlook.py
@@ -10,23 +10,23 @@
 from . import const as c
 from .fleet import IDLE_ENGINE, EngineUsage
 
-__all__ = ["Outlook", "observe_outlook"]
+__all__ = ["ShortPromptForecast", "forecast_short_prompts"]
 
 MILLISECONDS = 1_000
 
 
 @dataclass(frozen=True)
-class Outlook:
+class ShortPromptForecast:
     """What short prompts are expected to need in the next seconds.
 
     places are those that they take now, weight_per_second what comes with new ones;
     free are the engines that read nothing long, each with so many places for them.
     """
 
-    places: float = 0.0
+    slots: float = 0.0
     weight_per_second: float = 0.0
-    free: frozenset[str] = frozenset()
-    places_an_engine: float = 1.0
+    free_engines: frozenset[str] = frozenset()
+    slots_per_engine: float = 1.0
 
     def compute_loss(self, prefill_engines: Sequence[str], seconds: float) -> float:
         """Return the weight expected to be late as readers read for so many seconds.
@@ -37,22 +37,24 @@
         law as many as places times what they hold one), so the part that finds no
         place on the engines left is lost, over what finds none without the reading.
         """
-        if not self.places:
+        if not self.slots:
             return 0.0
-        left = len(self.free.difference(prefill_engines))
-        lost = self._compute_lost_share(left) - self._compute_lost_share(len(self.free))
+        left = len(self.free_engines.difference(prefill_engines))
+        lost = self._compute_unserved_share(left) - self._compute_unserved_share(
+            len(self.free_engines)
+        )
         return self.weight_per_second * seconds * lost
 
-    def _compute_lost_share(self, engines: int) -> float:
-        return max(0.0, 1 - engines * self.places_an_engine / self.places)
+    def _compute_unserved_share(self, engines: int) -> float:
+        return max(0.0, 1 - engines * self.slots_per_engine / self.slots)
 
 
-def observe_outlook(
+def forecast_short_prompts(
     engines: Sequence[str],
     known: Mapping[str, EngineUsage],
     model: EngineModel,
     prefill_seconds: float,
-) -> Outlook:
+) -> ShortPromptForecast:
     """Return the outlook for those whose aim a pause as long as a reading breaks."""
     works = {name: known.get(name, IDLE_ENGINE) for name in engines}
     pause = int(prefill_seconds * MILLISECONDS)
@@ -67,19 +69,20 @@
     strictest = min(
         (min(work.weights) for work in works.values() if work.weights), default=0
     )
-    return Outlook(
-        places=float(sum(requests for requests, _ in paused)),
-        weight_per_second=sum(weight for _, weight in paused) / _compute_hold(model),
-        free=frozenset(
+    return ShortPromptForecast(
+        slots=float(sum(requests for requests, _ in paused)),
+        weight_per_second=sum(weight for _, weight in paused)
+        / _compute_slot_hold_seconds(model),
+        free_engines=frozenset(
             name
             for name, work in works.items()
             if work.prefill_seconds * MILLISECONDS <= strictest
         ),
-        places_an_engine=max(model.slots * c.SLOT_FILL_SHARE, 1.0),
+        slots_per_engine=max(model.slots * c.SLOT_FILL_SHARE, 1.0),
     )
 
 
-def _compute_hold(model: EngineModel) -> float:
+def _compute_slot_hold_seconds(model: EngineModel) -> float:
     """Return for how many seconds a usual answer takes a place."""
     passes = max(model.usual_answer_tokens / max(model.stride_steps, 1), 1.0)
     return passes * model.compute_write_seconds(model.slots // 2, 0)
--- a/libraries/placement/tarragonward_placement/placement.py
+++ b/libraries/placement/tarragonward_placement/placement.py
@@ -13,7 +13,13 @@
 from .admission import check_memory, check_time, refuse
 from .affinity import PrefixIndex
 from .groups import GroupMember, plan_group
-from .lanes import ShortBudget, get_lane, get_lane_order, get_treatment, is_reading_long
+from .lanes import (
+    ShortPromptBudget,
+    classify_prompt,
+    get_long_pool,
+    get_pool_order,
+    has_long_prefill,
+)
 from .limits import AccountLimits
 from .messages import (
     EngineView,
@@ -23,7 +29,13 @@
     PlacementRequest,
     Refused,
 )
-from .predictions import Corrections, InFlight, InFlightBook, TokenPace, predict_ttft
+from .predictions import (
+    InFlightIndex,
+    InFlightRequest,
+    TokenInterval,
+    TtftCorrections,
+    predict_ttft,
+)
 
 __all__ = ["Placement"]
 
@@ -63,15 +75,15 @@
         self.limits = AccountLimits()
         self._random = random or Random(0)
         self._policy = policy or PlacementPolicy()
-        self._book = InFlightBook()
-        self._corrections = Corrections()
-        self._pace = TokenPace()
-        self._short_budget = ShortBudget()
+        self._in_flight = InFlightIndex()
+        self._corrections = TtftCorrections()
+        self._token_interval = TokenInterval()
+        self._short_budget = ShortPromptBudget()
 
     @property
     def in_flight(self) -> int:
         """Return how many prompts are placed and not released."""
-        return len(self._book)
+        return len(self._in_flight)
 
     def place(
         self,
@@ -95,15 +107,15 @@
         # Without a recent report there is nothing but a guess to refuse it on.
         is_known = choice.view.report_age_seconds <= c.MAX_TRUSTED_REPORT_SECONDS
         if self._policy.uses_admission and is_known:
-            pace = self._pace.seconds_per_token
-            refused = check_time(request, pace, choice.ttft_seconds)
+            seconds_per_token = self._token_interval.seconds_per_token
+            refused = check_time(request, seconds_per_token, choice.ttft_seconds)
             if refused is not None:
                 return refused
-        return self._take(context, choice)
+        return self._accept(context, choice)
 
     def note_first_token(self, request_id: str, now: float) -> None:
         """Learn from a prompt's first token; further calls change nothing."""
-        work = self._book.get(request_id)
+        work = self._in_flight.get(request_id)
         if work is None or work.has_first_token:
             return
         work.has_first_token = True
@@ -112,13 +124,13 @@
 
     def note_finished(self, request_id: str, tokens: int, now: float) -> None:
         """Learn from a whole answer of so many tokens."""
-        work = self._book.get(request_id)
+        work = self._in_flight.get(request_id)
         if work is not None and work.has_first_token:
-            self._pace.observe(now - work.first_token_at, tokens - 1)
+            self._token_interval.observe(now - work.first_token_at, tokens - 1)
 
     def release(self, request_id: str) -> None:
         """Forget a prompt that has ended or left its engines."""
-        self._book.remove(request_id)
+        self._in_flight.remove(request_id)
 
     def _build_context(
         self,
@@ -127,7 +139,7 @@
         fleet: FleetView,
         now: float,
     ) -> _Context:
-        length_class, priority, chunk = get_treatment(request.prompt_tokens)
+        length_class, priority, chunk = classify_prompt(request.prompt_tokens)
         if not self._policy.uses_chunks:
             chunk = 0
         return _Context(request, views, fleet, now, length_class, priority, chunk)
@@ -145,57 +157,57 @@
             cached = max(self._count_cached(context, view) for view in context.views)
             seconds = self.limits.check(request, capacity, fleet, context.now, cached)
         else:
-            is_within = self._keeps_memory_share(context)
+            is_within = self._is_within_memory_share(context)
             seconds = None if is_within else c.LONG_RETRY_SECONDS
         if seconds is None:
             return None
         return refuse(ResultCode.ACCOUNT_LIMIT, seconds)
 
-    def _keeps_memory_share(self, context: _Context) -> bool:
+    def _is_within_memory_share(self, context: _Context) -> bool:
         memory = sum(view.kv_tokens for view in context.views)
         free = sum(view.free_kv_tokens for view in context.views)
         if free >= memory * c.SCARCE_MEMORY_SHARE:
             return True
-        held = self._book.count_held_by_account()
+        held = self._in_flight.count_held_by_account()
         return self.limits.check_memory(context.request, held, memory, context.fleet)
 
     def _compute_short_capacity(self, context: _Context) -> float:
         """Return the tokens per second that the lane leaves for shorter prompts."""
         total = sum(view.prefill_tokens_per_second for view in context.views)
-        lent = sum(
+        shared_rate = sum(
             view.prefill_tokens_per_second
             for view in context.views
-            if is_reading_long(view)
+            if has_long_prefill(view)
         )
-        return total - lent * (1 - c.SHORT_PROMPT_RATE_SHARE)
+        return total - shared_rate * (1 - c.SHORT_PROMPT_RATE_SHARE)
 
     def _choose(self, context: _Context) -> _Choice | None:
         request = context.request
         if request.kv_tokens > max(view.kv_tokens for view in context.views):
             return self._choose_group(context)
-        roomy = [
+        fitting = [
             view
             for view in self._get_candidates(context)
-            if self._book.count_free_kv(view, context.now) >= request.kv_tokens
+            if self._in_flight.count_free_kv(view, context.now) >= request.kv_tokens
         ]
-        if not roomy:
+        if not fitting:
             return None
-        best = self._choose_one(context, roomy)
+        best = self._choose_one(context, fitting)
         part = GroupMember(best.name, request.kv_tokens)
         return _Choice(best, self._predict(context, best), (part,))
 
     def _choose_one(self, context: _Context, views: Sequence[EngineView]) -> EngineView:
         is_packed = context.length_class >= c.FIRST_PACKED_CLASS
         free = None
-        if is_packed and self._policy.uses_lane:
-            free = self._find_free(context, sorted(views, key=get_lane_order))
+        if is_packed and self._policy.uses_long_pool:
+            free = self._find_pool_engine(context, sorted(views, key=get_pool_order))
         sampled = self._sample(context, views) if free is None else [free]
         holder = max(views, key=lambda view: self._count_cached(context, view))
         if self._count_cached(context, holder):
             sampled.append(holder)
         return min(sampled, key=lambda view: (self._rank(context, view), view.name))
 
-    def _find_free(
+    def _find_pool_engine(
         self, context: _Context, views: Sequence[EngineView]
     ) -> EngineView | None:
         """Return one of the lane's first engines whose wait is short for the prompt.
@@ -204,19 +216,20 @@
         of demand is that the engines before are taken. It is drawn among a few, as
         hosts that all take the first meet there on one old report.
         """
-        bearable = context.request.prompt_tokens * c.LONG_POOL_MAX_WAIT_SHARE
+        max_waiting_tokens = context.request.prompt_tokens * c.LONG_POOL_MAX_WAIT_SHARE
         priority, now = context.engine_priority, context.now
         free = (
             view
             for view in views
-            if self._book.count_unread(view, priority, now) <= bearable
+            if self._in_flight.count_queued_tokens(view, priority, now)
+            <= max_waiting_tokens
         )
         first = list(itertools.islice(free, c.LONG_POOL_CANDIDATES))
         return self._random.choice(first) if first else None
 
     def _choose_group(self, context: _Context) -> _Choice | None:
         free = [
-            (view.name, self._book.count_free_kv(view, context.now))
+            (view.name, self._in_flight.count_free_kv(view, context.now))
             for view in self._get_candidates(context)
         ]
         parts = plan_group(free, context.request.kv_tokens)
@@ -232,18 +245,18 @@
     def _get_candidates(self, context: _Context) -> list[EngineView]:
         """Return the engines that the prompt may use, for its length."""
         request, views = context.request, context.views
-        if not self._policy.uses_lane:
+        if not self._policy.uses_long_pool:
             return list(views)
         if request.is_long:
             largest = max(view.kv_tokens for view in views)
             # One more than its size needs: the engines are seldom all empty.
             share = c.LONG_POOL_SHARES[context.length_class]
-            return get_lane(views, share, -(-request.kv_tokens // largest) + 1)
+            return get_long_pool(views, share, -(-request.kv_tokens // largest) + 1)
         hosts = context.fleet.live_hosts
         return [
             view
             for view in views
-            if not is_reading_long(view)
+            if not has_long_prefill(view)
             or self._short_budget.can_take(view, hosts, context.now)
         ]
 
@@ -255,13 +268,13 @@
         Engines that read long prompts are drawn apart, so that chance alone never
         leaves a short prompt with none but these. Long prompts look at all.
         """
-        is_long = context.request.is_long and self._policy.uses_lane
+        is_long = context.request.is_long and self._policy.uses_long_pool
         if is_long or not self._policy.uses_sampling:
             return list(views)
-        clear = [view for view in views if not is_reading_long(view)]
-        reading = [view for view in views if is_reading_long(view)]
-        sampled = self._draw(clear, c.SAMPLED_CANDIDATES)
-        return sampled + self._draw(reading, c.SAMPLED_LONG_PREFILL)
+        idle = [view for view in views if not has_long_prefill(view)]
+        busy = [view for view in views if has_long_prefill(view)]
+        sampled = self._draw(idle, c.SAMPLED_CANDIDATES)
+        return sampled + self._draw(busy, c.SAMPLED_LONG_PREFILL)
 
     def _draw(self, views: list[EngineView], count: int) -> list[EngineView]:
         return self._random.sample(views, min(count, len(views)))
@@ -269,13 +282,19 @@
     def _rank(self, context: _Context, view: EngineView) -> float:
         if self._policy.uses_prediction:
             return self._predict(context, view)
-        return sum(1 for _ in self._book.iterate_engine(view.name))
+        return sum(1 for _ in self._in_flight.iterate_engine(view.name))
 
     def _predict(self, context: _Context, view: EngineView) -> float:
-        waiting = self._book.count_unread(view, context.engine_priority, context.now)
+        waiting = self._in_flight.count_queued_tokens(
+            view, context.engine_priority, context.now
+        )
         cached = self._count_cached(context, view)
-        has_behind = self._book.has_behind(view, context.engine_priority, context.now)
-        seconds = predict_ttft(context.request, view, waiting, cached, has_behind)
+        has_lower_priority_work = self._in_flight.has_lower_priority_work(
+            view, context.engine_priority, context.now
+        )
+        seconds = predict_ttft(
+            context.request, view, waiting, cached, has_lower_priority_work
+        )
         return seconds * self._corrections.get(context.length_class)
 
     def _count_cached(self, context: _Context, view: EngineView) -> int:
@@ -293,20 +312,20 @@
         )
         return refuse(ResultCode.OVERLOADED, seconds, "no engine has the memory")
 
-    def _take(self, context: _Context, choice: _Choice) -> Placed:
+    def _accept(self, context: _Context, choice: _Choice) -> Placed:
         request = context.request
         self._check_parts(context, choice)
         cached = self._count_cached(context, choice.view)
-        unread = max(request.prompt_tokens - cached, 1)
+        uncached = max(request.prompt_tokens - cached, 1)
         if not request.is_long:
-            self._short_budget.take(choice.view.name, unread)
-        self._book.add(
-            InFlight(
+            self._short_budget.take(choice.view.name, uncached)
+        self._in_flight.add(
+            InFlightRequest(
                 request_id=request.request_id,
                 account=request.account,
                 parts={part.engine: part.tokens for part in choice.parts},
                 leader=choice.view.name,
-                unread_tokens=unread,
+                uncached_tokens=uncached,
                 engine_priority=context.engine_priority,
                 placed_at=context.now,
                 predicted_ttft_seconds=choice.ttft_seconds,
@@ -327,7 +346,7 @@
             view = known.get(part.engine)
             invariants.check(
                 view is not None
-                and part.tokens <= self._book.count_free_kv(view, context.now),
+                and part.tokens <= self._in_flight.count_free_kv(view, context.now),
                 "placed_within_known_memory",
                 request_id=context.request.request_id,
                 engine=part.engine,
--- a/libraries/placement/tarragonward_placement/places.py
+++ b/libraries/placement/tarragonward_placement/places.py
@@ -11,13 +11,13 @@
 from . import const as c
 from .fleet import EngineUsage
 
-__all__ = ["EnginePlace", "PromptNeed", "place_engines"]
+__all__ = ["EnginePosition", "PromptRequirements", "rank_engines"]
 
 MILLISECONDS = 1_000
 
 
 @dataclass(frozen=True)
-class PromptNeed:
+class PromptRequirements:
     """A prompt to be placed; aim_seconds is what is left until its first event's.
 
     leader is the engine that is to answer, where that is settled already.
@@ -45,38 +45,39 @@
 
 
 @dataclass(frozen=True)
-class EnginePlace:
-    """An engine's place in its failure domain, in the order that all hosts share.
+class EnginePosition:
+    """An engine's position in the engine order of its failure domain.
 
-    behind_lane is how many engines beyond those that the strictest writers there need,
-    as a share of all engines; before_end is its distance from the domain's last one,
-    0 to 1; is_near where it is in the failure domain of the host that places.
+    beyond_pool_share is how many engines it lies beyond the pool that the domain's most
+    latency-sensitive requests need, as a share of all engines. distance_to_end is its
+    distance from the domain's last engine, 0 to 1. is_local is set where the engine is
+    in the failure domain of the host that plans.
     """
 
     name: str
-    behind_lane: float
-    before_end: float
-    is_near: bool
+    beyond_pool_share: float
+    distance_to_end: float
+    is_local: bool
 
-    def weigh(self, is_long: bool) -> float:
+    def compute_position_cost(self, is_long: bool) -> float:
         """Return what the place counts against the engine, in the weight's unit."""
         if is_long:
-            return c.LONG_PROMPT_POSITION_COST * self.before_end
-        return c.PACKING_COST * self.behind_lane
+            return c.LONG_PROMPT_POSITION_COST * self.distance_to_end
+        return c.PACKING_COST * self.beyond_pool_share
 
-    def weigh_distance(self) -> float:
+    def compute_distance_cost(self) -> float:
         """Return what it counts that the answer comes from another failure domain."""
-        return 0.0 if self.is_near else c.CROSS_DOMAIN_COST
+        return 0.0 if self.is_local else c.CROSS_DOMAIN_COST
 
 
-def place_engines(
-    need: PromptNeed,
+def rank_engines(
+    need: PromptRequirements,
     engines: Sequence[str],
     known: Mapping[str, EngineUsage],
     model: EngineModel,
     domains: Mapping[str, str],
     own_domain: str,
-) -> list[EnginePlace]:
+) -> list[EnginePosition]:
     """Return the places of engines that are given in the order of all hosts.
 
     Each failure domain has a lane of its own, and a prompt prefers those of its
@@ -87,24 +88,24 @@
     by_domain: dict[str, list[str]] = {}
     for name in engines:
         by_domain.setdefault(domains.get(name, ""), []).append(name)
-    places = []
+    positions = []
     for domain, names in by_domain.items():
-        lane = _count_lane(need, names, known, model)
-        is_near = domain == own_domain or own_domain not in by_domain
-        places += [
-            EnginePlace(
+        pool_size = _count_pool_engines(need, names, known, model)
+        is_local = domain == own_domain or own_domain not in by_domain
+        positions += [
+            EnginePosition(
                 name=name,
-                behind_lane=max(0, place - lane) / len(engines),
-                before_end=1 - place / len(names),
-                is_near=is_near,
+                beyond_pool_share=max(0, rank - pool_size) / len(engines),
+                distance_to_end=1 - rank / len(names),
+                is_local=is_local,
             )
-            for place, name in enumerate(names, start=1)
+            for rank, name in enumerate(names, start=1)
         ]
-    return places
+    return positions
 
 
-def _count_lane(
-    need: PromptNeed,
+def _count_pool_engines(
+    need: PromptRequirements,
     names: Sequence[str],
     known: Mapping[str, EngineUsage],
     model: EngineModel,
--- a/libraries/placement/tarragonward_placement/predictions.py
+++ b/libraries/placement/tarragonward_placement/predictions.py
@@ -8,18 +8,24 @@
 from . import const as c
 from .messages import EngineView, PlacementRequest
 
-__all__ = ["Corrections", "InFlight", "InFlightBook", "TokenPace", "predict_ttft"]
+__all__ = [
+    "TtftCorrections",
+    "InFlightRequest",
+    "InFlightIndex",
+    "TokenInterval",
+    "predict_ttft",
+]
 
 
 @dataclass
-class InFlight:
+class InFlightRequest:
     """One placed prompt: where its memory is and what was predicted for it."""
 
     request_id: str
     account: str
     parts: dict[str, int]
     leader: str
-    unread_tokens: int
+    uncached_tokens: int
     engine_priority: int
     placed_at: float
     predicted_ttft_seconds: float
@@ -28,17 +34,17 @@
     first_token_at: float = 0.0
 
 
-class InFlightBook:
+class InFlightIndex:
     """The host's own prompts on engines, found by request and by engine."""
 
     def __init__(self) -> None:
-        self._work: dict[str, InFlight] = {}
-        self._by_engine: dict[str, dict[str, InFlight]] = {}
+        self._work: dict[str, InFlightRequest] = {}
+        self._by_engine: dict[str, dict[str, InFlightRequest]] = {}
 
     def __len__(self) -> int:
         return len(self._work)
 
-    def add(self, work: InFlight) -> None:
+    def add(self, work: InFlightRequest) -> None:
         """Count a prompt until it is removed."""
         self._work[work.request_id] = work
         for engine in work.parts:
@@ -54,11 +60,11 @@
             if not self._by_engine[engine]:
                 del self._by_engine[engine]
 
-    def get(self, request_id: str) -> InFlight | None:
+    def get(self, request_id: str) -> InFlightRequest | None:
         """Return a prompt in flight."""
         return self._work.get(request_id)
 
-    def iterate_engine(self, engine: str) -> Iterator[InFlight]:
+    def iterate_engine(self, engine: str) -> Iterator[InFlightRequest]:
         """Give the prompts on an engine."""
         yield from self._by_engine.get(engine, {}).values()
 
@@ -71,7 +77,7 @@
                 held[work.account] = held.get(work.account, 0.0) + tokens
         return held
 
-    def count_unread(self, view: EngineView, priority: int, now: float) -> float:
+    def count_queued_tokens(self, view: EngineView, priority: int, now: float) -> float:
         """Return the prompt tokens that a new prompt of this priority waits for.
 
         A report tells of the time before it was made: what this host placed since is
@@ -83,7 +89,7 @@
             reported -= view.queued_long_tokens
         read = view.report_age_seconds * view.prefill_tokens_per_second
         own = sum(
-            work.unread_tokens
+            work.uncached_tokens
             for work in self._iterate_unreported(view, now)
             if work.leader == view.name
             and not work.has_first_token
@@ -91,7 +97,9 @@
         )
         return max(0.0, reported - read) + own
 
-    def has_behind(self, view: EngineView, priority: int, now: float) -> bool:
+    def has_lower_priority_work(
+        self, view: EngineView, priority: int, now: float
+    ) -> bool:
         """Return whether the engine reads prompts that go after this priority."""
         if view.queued_long_tokens > 0 and priority < c.FIRST_LONG_PRIORITY:
             return True
@@ -106,14 +114,16 @@
         unreported = self._iterate_unreported(view, now)
         return view.free_kv_tokens - sum(work.parts[view.name] for work in unreported)
 
-    def _iterate_unreported(self, view: EngineView, now: float) -> Iterator[InFlight]:
+    def _iterate_unreported(
+        self, view: EngineView, now: float
+    ) -> Iterator[InFlightRequest]:
         made_at = now - view.report_age_seconds - c.REPORT_LAG_ALLOWANCE_SECONDS
         for work in self.iterate_engine(view.name):
             if work.placed_at >= made_at:
                 yield work
 
 
-class Corrections:
+class TtftCorrections:
     """The measured over the predicted time to first token, by length class.
 
     Prefill slows down with the length of the context, which a rate in tokens does
@@ -127,7 +137,7 @@
         """Return the factor for predictions of this class."""
         return self._ratios[length_class]
 
-    def observe(self, work: InFlight, now: float) -> None:
+    def observe(self, work: InFlightRequest, now: float) -> None:
         """Learn from a first token that has come."""
         measured = now - work.placed_at
         ratio = measured / max(work.predicted_ttft_seconds, 1e-3)
@@ -139,7 +149,7 @@
         )
 
 
-class TokenPace:
+class TokenInterval:
     """The seconds between an answer's tokens, as this host's answers came."""
 
     def __init__(self) -> None:
@@ -158,7 +168,7 @@
     view: EngineView,
     waiting: float,
     cached: int,
-    has_behind: bool,
+    has_lower_priority_work: bool,
 ) -> float:
     """Return the seconds until the first token, with waiting tokens before it.
 
@@ -166,6 +176,6 @@
     after this one is read in such steps, and in what its last step leaves.
     """
     tokens = waiting + max(request.prompt_tokens - cached, 1)
-    if has_behind:
+    if has_lower_priority_work:
         tokens += c.LOWER_PRIORITY_DELAY_TOKENS
     return tokens / view.prefill_tokens_per_second + view.seconds_per_token
--- a/libraries/placement/tarragonward_placement/reach.py
+++ b/libraries/placement/tarragonward_placement/reach.py
@@ -199,11 +199,11 @@
 
     def get_unverified(self, targets: Sequence[Target], now: float) -> list[Target]:
         """Return those that were not connected to lately."""
-        oldest = now - c.CONNECTION_FRESH_SECONDS
+        stale_before = now - c.CONNECTION_FRESH_SECONDS
         return [
             target
             for target in targets
-            if self._connected_at.get(target.id, oldest) <= oldest
+            if self._connected_at.get(target.id, stale_before) <= stale_before
         ]
 
     def take_due_probes(self, registered: Sequence[Target], now: float) -> list[Target]:
--- a/libraries/placement/tarragonward_placement/readings.py
+++ b/libraries/placement/tarragonward_placement/readings.py
@@ -10,10 +10,10 @@
 
 from . import const as c
 from .fleet import IDLE_ENGINE, EngineUsage, InFlightPrompt
-from .outlook import observe_outlook
-from .places import EnginePlace, PromptNeed, place_engines
+from .outlook import forecast_short_prompts
+from .places import EnginePosition, PromptRequirements, rank_engines
 
-__all__ = ["PromptNeed", "PrefillPlan", "plan_prefill"]
+__all__ = ["PromptRequirements", "PrefillPlan", "plan_prefill"]
 
 MILLISECONDS = 1_000
 
@@ -40,7 +40,7 @@
         """Return the engine that gets the request."""
         return self.prefill_engines[0]
 
-    def build_work(self, need: PromptNeed, now: float) -> InFlightPrompt:
+    def build_work(self, need: PromptRequirements, now: float) -> InFlightPrompt:
         """Return the prompt as it is counted while it is in flight."""
         return InFlightPrompt(
             leader=self.leader,
@@ -93,7 +93,7 @@
 
 
 def plan_prefill(
-    need: PromptNeed,
+    need: PromptRequirements,
     engines: Sequence[str],
     known: Mapping[str, EngineUsage],
     model: EngineModel,
@@ -109,10 +109,13 @@
     writers that bear no pause stay few. A host that hears no peer spreads its
     prompts: hosts that each pack blindly would all pack the same engines.
     """
-    places = place_engines(need, engines, known, model, domains or {}, own_domain)
+    positions = rank_engines(need, engines, known, model, domains or {}, own_domain)
     if not has_fresh_hints:
-        places = [replace(each, behind_lane=0, before_end=0.0) for each in places]
-    chosen = _sample(places, need, random)
+        positions = [
+            replace(each, beyond_pool_share=0, distance_to_end=0.0)
+            for each in positions
+        ]
+    chosen = _sample(positions, need, random)
     if not any(need.can_lead(each.name) for each in chosen):
         return None
     single_engine_seconds = model.compute_read_seconds(need.prompt_tokens)
@@ -132,9 +135,9 @@
         is_long = single_engine_seconds >= c.MIN_PARALLEL_PREFILL_SECONDS
         candidates = [
             _build_candidate(
-                place, known.get(place.name, IDLE_ENGINE), part, model, is_long
+                position, known.get(position.name, IDLE_ENGINE), part, model, is_long
             )
-            for place in chosen
+            for position in chosen
         ]
         if needs_reservations:
             plan = _plan_group_holders(count, part, candidates, need, model, random)
@@ -143,8 +146,8 @@
         if plan is None:
             continue
         if is_long:
-            outlook = observe_outlook(engines, known, model, plan.part_seconds)
-            loss = outlook.compute_loss(plan.prefill_engines, plan.part_seconds)
+            forecast = forecast_short_prompts(engines, known, model, plan.part_seconds)
+            loss = forecast.compute_loss(plan.prefill_engines, plan.part_seconds)
             plan = replace(plan, cost=plan.cost + loss)
         if best is None or plan.cost < best.cost:
             best = plan
@@ -152,20 +155,20 @@
 
 
 def _sample(
-    places: list[EnginePlace], need: PromptNeed, random: Random
-) -> list[EnginePlace]:
+    positions: list[EnginePosition], need: PromptRequirements, random: Random
+) -> list[EnginePosition]:
     """Return a bounded number of engines, the one that is to answer among them."""
-    if len(places) <= c.MAX_PLAN_CANDIDATES:
-        return places
-    fixed_leader = [each for each in places if each.name == need.leader]
-    others = [each for each in places if each.name != need.leader]
+    if len(positions) <= c.MAX_PLAN_CANDIDATES:
+        return positions
+    fixed_leader = [each for each in positions if each.name == need.leader]
+    others = [each for each in positions if each.name != need.leader]
     return fixed_leader + random.sample(
         others, c.MAX_PLAN_CANDIDATES - len(fixed_leader)
     )
 
 
 def _build_candidate(
-    place: EnginePlace,
+    position: EnginePosition,
     work: EngineUsage,
     part: float,
     model: EngineModel,
@@ -190,9 +193,9 @@
     ends = reading + part
     if work.decoding_requests:
         ends += 1.5 * step_seconds
-    position_cost = place.weigh(is_long)
+    position_cost = position.compute_position_cost(is_long)
     return _PrefillCandidate(
-        place.name, work, ends, cost, position_cost, place.weigh_distance()
+        position.name, work, ends, cost, position_cost, position.compute_distance_cost()
     )
 
 
@@ -200,7 +203,7 @@
     count: int,
     part: float,
     candidates: list[_PrefillCandidate],
-    need: PromptNeed,
+    need: PromptRequirements,
     model: EngineModel,
     random: Random,
 ) -> PrefillPlan | None:
@@ -229,7 +232,7 @@
     count: int,
     part: float,
     candidates: list[_PrefillCandidate],
-    need: PromptNeed,
+    need: PromptRequirements,
     model: EngineModel,
     random: Random,
 ) -> PrefillPlan | None:
@@ -286,7 +289,7 @@
 def _choose_helpers(
     count: int,
     candidates: list[_PrefillCandidate],
-    need: PromptNeed,
+    need: PromptRequirements,
     model: EngineModel,
     random: Random,
 ) -> list[_PrefillCandidate]:
@@ -308,7 +311,7 @@
     prefill_engines: list[_PrefillCandidate],
     part: float,
     lead_cost: float,
-    need: PromptNeed,
+    need: PromptRequirements,
     reserved_tokens: Mapping[str, int] | None = None,
 ) -> PrefillPlan:
     first = max(each.prefill_end_seconds for each in prefill_engines)
@@ -331,7 +334,7 @@
 
 
 def _compute_pass(
-    leader: _PrefillCandidate, need: PromptNeed, model: EngineModel, count: int
+    leader: _PrefillCandidate, need: PromptRequirements, model: EngineModel, count: int
 ) -> float:
     context = leader.work.context_tokens + need.prompt_tokens // count
     return model.compute_write_seconds(leader.work.decoding_requests + 1, context)
@@ -343,7 +346,7 @@
 
 
 def _compute_lead_cost(
-    each: _PrefillCandidate, need: PromptNeed, model: EngineModel, tokens: int
+    each: _PrefillCandidate, need: PromptRequirements, model: EngineModel, tokens: int
 ) -> float:
     """Return what it costs that this engine holds and writes the answer."""
     work = each.work
--- a/libraries/placement/tarragonward_placement/relocation.py
+++ b/libraries/placement/tarragonward_placement/relocation.py
@@ -5,15 +5,17 @@
 from . import const as c
 from .fleet import EngineUsage
 
-__all__ = ["gains_by_moving", "predict_wait"]
+__all__ = ["should_migrate", "predict_event_wait"]
 
 
-def predict_wait(work: EngineUsage, pass_seconds: float) -> float:
+def predict_event_wait(work: EngineUsage, pass_seconds: float) -> float:
     """Return the seconds until an engine's writers have their next event."""
     return (work.prefill_seconds + pass_seconds) * work.slowdown
 
 
-def gains_by_moving(waits: float, elsewhere: float, limit: float) -> bool:
+def should_migrate(
+    wait_seconds: float, wait_elsewhere_seconds: float, limit_seconds: float
+) -> bool:
     """Return whether a stream is in time elsewhere and is not where it is; seconds.
 
     A long prompt's part is read within one pass of the writers beside it, so they all
@@ -22,5 +24,6 @@
     What is nearly in time stays: a prediction is not exact, and a move costs a repeat.
     """
     return (
-        waits > limit * c.MIGRATE_FROM_SHARE and elsewhere <= limit * c.MIGRATE_TO_SHARE
+        wait_seconds > limit_seconds * c.MIGRATE_FROM_SHARE
+        and wait_elsewhere_seconds <= limit_seconds * c.MIGRATE_TO_SHARE
     )
--- a/libraries/placement/tarragonward_placement/target_limits.py
+++ b/libraries/placement/tarragonward_placement/target_limits.py
@@ -10,11 +10,11 @@
 
 from . import const as c
 
-__all__ = ["HostView", "LimitEntry", "TargetLimits", "compute_part"]
+__all__ = ["HostView", "LimitEntry", "TargetLimits", "compute_host_share"]
 
 MILLI = 1_000
 RANK_BYTES = 8
-MAX_NUMBER = 1 << 62
+MAX_TARGET_NUMBER = 1 << 62
 NEVER = float("-inf")
 
 
@@ -26,8 +26,8 @@
     """
 
     own: str
-    known: frozenset[str]
-    most: int
+    known_hosts: frozenset[str]
+    max_known_hosts: int
 
 
 @dataclass(frozen=True)
@@ -51,7 +51,7 @@
         """Return the entry that pack() gave; raise ValueError if it is not one."""
         number, rate, age = item
         if not all(
-            type(n) is int and -1 <= n < MAX_NUMBER for n in (number, rate, age)
+            type(n) is int and -1 <= n < MAX_TARGET_NUMBER for n in (number, rate, age)
         ):
             raise ValueError("a number is not one")
         return cls(number, None if rate < 0 else rate / MILLI, max(0, age) / MILLI)
@@ -62,12 +62,12 @@
     """A target's rate, and this host's allowance of it; times in seconds."""
 
     rate: float | None
-    named_at: float
+    advertised_at: float
     allowance: float
-    counted_at: float
+    accrued_at: float
     # This host's part, and the rate and view of hosts that it was worked out for.
-    part: float = 0.0
-    part_of: tuple[float, HostView] | None = field(default=None, repr=False)
+    share: float = 0.0
+    share_inputs: tuple[float, HostView] | None = field(default=None, repr=False)
 
 
 class TargetLimits:
@@ -88,28 +88,30 @@
         """Return how many targets name a limit."""
         return sum(limit.rate is not None for limit in self._limits.values())
 
-    def note_named(self, number: int, rate: float | None, now: float) -> bool:
+    def record_advertised(self, number: int, rate: float | None, now: float) -> bool:
         """Note what a target named now; return whether it is news."""
-        return self.take(LimitEntry(number, rate, 0.0), now)
+        return self.apply_entry(LimitEntry(number, rate, 0.0), now)
 
-    def take(self, entry: LimitEntry, now: float, age: float = 0.0) -> bool:
+    def apply_entry(self, entry: LimitEntry, now: float, age: float = 0.0) -> bool:
         """Take what a host told so many seconds ago; return whether it is news."""
-        named_at = now - age - entry.age_seconds
+        advertised_at = now - age - entry.age_seconds
         limit = self._limits.get(entry.number)
         if limit is None:
             if entry.rate is None or len(self._limits) >= c.MAX_TARGET_LIMITS:
                 return False
             # Hosts that hear of a limit at once must not all send at once.
             allowance = self._random.random()
-            self._limits[entry.number] = _Limit(entry.rate, named_at, allowance, now)
+            self._limits[entry.number] = _Limit(
+                entry.rate, advertised_at, allowance, now
+            )
             return True
-        if named_at <= limit.named_at:
+        if advertised_at <= limit.advertised_at:
             return False
-        is_news = entry.rate != limit.rate
+        has_changed = entry.rate != limit.rate
         if limit.rate is None and entry.rate is not None:
-            limit.allowance, limit.counted_at = self._random.random(), now
-        limit.rate, limit.named_at = entry.rate, named_at
-        return is_news
+            limit.allowance, limit.accrued_at = self._random.random(), now
+        limit.rate, limit.advertised_at = entry.rate, advertised_at
+        return has_changed
 
     def is_limited(self, number: int) -> bool:
         """Return whether a target names a limit."""
@@ -121,7 +123,7 @@
         limit = self._limits.get(number)
         if limit is None or limit.rate is None:
             return True
-        self._count(number, limit, view, now)
+        self._accrue(number, limit, view, now)
         return limit.allowance >= 1.0
 
     def compute_wait(self, number: int, view: HostView, now: float) -> float:
@@ -129,9 +131,9 @@
         if self.may_send(number, view, now):
             return 0.0
         limit = self._limits[number]
-        if limit.part <= 0.0:
+        if limit.share <= 0.0:
             return float("inf")
-        return (1.0 - limit.allowance) / limit.part
+        return (1.0 - limit.allowance) / limit.share
 
     def record_send(self, number: int) -> None:
         """Count a request that is about to be sent."""
@@ -139,7 +141,7 @@
         if limit is not None and limit.rate is not None:
             limit.allowance -= 1.0
 
-    def return_send(self, number: int) -> None:
+    def refund_send(self, number: int) -> None:
         """Give back what a request took of which no byte was sent."""
         limit = self._limits.get(number)
         if limit is not None and limit.rate is not None:
@@ -150,13 +152,13 @@
         limit = self._limits.get(number)
         if limit is None:
             return None
-        return LimitEntry(number, limit.rate, now - limit.named_at)
+        return LimitEntry(number, limit.rate, now - limit.advertised_at)
 
     def keep_only(self, numbers: Collection[int], now: float) -> None:
         """Forget targets that are no more, and limits that ended long ago."""
-        long_ago = now - c.LIMIT_RETENTION_SECONDS
+        oldest = now - c.LIMIT_RETENTION_SECONDS
         for number, limit in list(self._limits.items()):
-            has_ended = limit.rate is None and limit.named_at < long_ago
+            has_ended = limit.rate is None and limit.advertised_at < oldest
             if has_ended or number not in numbers:
                 del self._limits[number]
 
@@ -164,33 +166,39 @@
         """Give the targets that name, or lately named, a limit."""
         yield from self._limits
 
-    def _count(self, number: int, limit: _Limit, view: HostView, now: float) -> None:
+    def _accrue(self, number: int, limit: _Limit, view: HostView, now: float) -> None:
         assert limit.rate is not None
-        if limit.part_of is None or limit.part_of != (limit.rate, view):
-            limit.part = compute_part(number, limit.rate, view)
-            limit.part_of = limit.rate, view
-        earned = limit.part * max(0.0, now - limit.counted_at)
-        limit.allowance = min(1.0, limit.allowance + earned)
-        limit.counted_at = now
-        if limit.part <= 0.0:
+        if limit.share_inputs is None or limit.share_inputs != (limit.rate, view):
+            limit.share = compute_host_share(number, limit.rate, view)
+            limit.share_inputs = limit.rate, view
+        accrued = limit.share * max(0.0, now - limit.accrued_at)
+        limit.allowance = min(1.0, limit.allowance + accrued)
+        limit.accrued_at = now
+        if limit.share <= 0.0:
             limit.allowance = min(limit.allowance, 0.0)
 
 
-def compute_part(number: int, rate: float, view: HostView) -> float:
+def compute_host_share(number: int, rate: float, view: HostView) -> float:
     """Return how many requests a second of a target's rate are this host's.
 
     The users of a target are the first by a hash of it and them. Hosts with other views
     choose other ones: what a host doesn't know counts as before it.
     """
-    users = int(c.LIMIT_HOSTS_PER_RATE * rate) + c.LIMIT_MIN_HOSTS
+    host_count = int(c.LIMIT_HOSTS_PER_RATE * rate) + c.LIMIT_MIN_HOSTS
     if rate < c.LIMIT_MIN_RATE:
         return 0.0
-    if users >= view.most:
-        return c.LIMIT_SHARE * rate / view.most
+    if host_count >= view.max_known_hosts:
+        return c.LIMIT_SHARE * rate / view.max_known_hosts
     own = _rank(number, view.own)
-    before = sum(_rank(number, name) < own for name in view.known if name != view.own)
-    unknown = max(0, view.most - len(view.known))
-    return c.LIMIT_SHARE * rate / users if before + unknown < users else 0.0
+    ranked_before = sum(
+        _rank(number, name) < own for name in view.known_hosts if name != view.own
+    )
+    unknown = max(0, view.max_known_hosts - len(view.known_hosts))
+    return (
+        c.LIMIT_SHARE * rate / host_count
+        if ranked_before + unknown < host_count
+        else 0.0
+    )
 
 
 def _rank(number: int, name: str) -> bytes:
--- a/libraries/placement/tarragonward_placement/widening.py
+++ b/libraries/placement/tarragonward_placement/widening.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 
 from . import const as c
-from .places import PromptNeed
+from .places import PromptRequirements
 from .readings import PrefillPlan
 
 __all__ = ["widen_plan"]
 
 
 def widen_plan(
-    near: PrefillPlan | None,
-    need: PromptNeed,
+    cell_plan: PrefillPlan | None,
+    need: PromptRequirements,
     plan_fleet: Callable[[], PrefillPlan | None],
 ) -> PrefillPlan | None:
     """Return the plan within the cell, or the fleet's where it is better by far.
@@ -22,10 +22,10 @@
     cell, and the next one waits for them while those of other cells idle. Less is known
     of the engines of other cells, so a small gain is none.
     """
-    if near is not None and near.cost <= c.WIDEN_MIN_COST_SHARE * need.weight:
-        return near
-    wide = plan_fleet()
-    if near is None or wide is None:
-        return near or wide
-    is_better = near.cost - wide.cost > c.WIDEN_MIN_GAIN_SHARE * need.weight
-    return wide if is_better else near
+    if cell_plan is not None and cell_plan.cost <= c.WIDEN_MIN_COST_SHARE * need.weight:
+        return cell_plan
+    fleet_plan = plan_fleet()
+    if cell_plan is None or fleet_plan is None:
+        return cell_plan or fleet_plan
+    is_better = cell_plan.cost - fleet_plan.cost > c.WIDEN_MIN_GAIN_SHARE * need.weight
+    return fleet_plan if is_better else cell_plan
--- a/libraries/placement/tests/test_cells.py
+++ b/libraries/placement/tests/test_cells.py
@@ -2,18 +2,18 @@
 
 from collections import Counter
 
-from tarragonward_placement import Located, choose_cell
+from tarragonward_placement import LocatedMember, choose_cell
 from tarragonward_placement import const as c
 
 DOMAINS = ("a", "b", "c")
 
 
 def build_hosts(count):
-    return [Located(f"10.0.{n}.1:7000", DOMAINS[n % 3]) for n in range(count)]
+    return [LocatedMember(f"10.0.{n}.1:7000", DOMAINS[n % 3]) for n in range(count)]
 
 
 def build_engines(count, domains=DOMAINS):
-    return [Located(f"e{n}", domains[n % len(domains)]) for n in range(count)]
+    return [LocatedMember(f"e{n}", domains[n % len(domains)]) for n in range(count)]
 
 
 def choose_all(hosts, engines):
@@ -23,7 +23,7 @@
 def test_a_small_fleet_is_one_cell():
     hosts, engines = build_hosts(c.MAX_SINGLE_CELL_HOSTS), build_engines(24)
     cell = choose_cell(hosts[0], hosts, engines)
-    assert cell.is_whole
+    assert cell.covers_fleet
     assert len(cell.hosts) == len(hosts)
     assert len(cell.engines) == 24
 
@@ -46,8 +46,8 @@
     cells; whole, it absorbs both, and the callers that chance gives a few hosts.
     """
     domains = "abcde"
-    hosts = [Located(f"10.0.{n}.1:7000", domains[n % 5]) for n in range(195)]
-    engines = [Located(f"e{n}", domains[n % 5]) for n in range(172)]
+    hosts = [LocatedMember(f"10.0.{n}.1:7000", domains[n % 5]) for n in range(195)]
+    engines = [LocatedMember(f"e{n}", domains[n % 5]) for n in range(172)]
     for host in hosts:
         near = {e.name for e in engines if e.failure_domain == host.failure_domain}
         assert choose_cell(host, hosts, engines).engines == near
--- a/libraries/placement/tests/test_loads.py
+++ b/libraries/placement/tests/test_loads.py
@@ -1,8 +1,10 @@
 """Tests of which engines load next."""
 
-from tarragonward_placement.loads import EngineLoad, choose_loads
+from tarragonward_placement.loads import PendingModelLoad, choose_loads
 
-WANTED = [EngineLoad(f"{domain}-{n}", domain) for domain in "abc" for n in range(3)]
+WANTED = [
+    PendingModelLoad(f"{domain}-{n}", domain) for domain in "abc" for n in range(3)
+]
 
 
 def test_every_domain_gets_an_engine_before_any_gets_two():
--- a/libraries/placement/tests/test_outlook.py
+++ b/libraries/placement/tests/test_outlook.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tarragonward_placement import EngineUsage
-from tarragonward_placement.outlook import Outlook, observe_outlook
+from tarragonward_placement.outlook import ShortPromptForecast, forecast_short_prompts
 from tarragonward_routes import EngineModel
 
 MODEL = EngineModel(
@@ -25,13 +25,13 @@
 READING = EngineUsage(prefill_seconds=2.0)
 
 
-def observe(busy=(), reading=(), seconds=2.0):
+def forecast(busy=(), reading=(), seconds=2.0):
     known = {name: WRITING for name in busy} | {name: READING for name in reading}
-    return observe_outlook(ENGINES, known, MODEL, seconds)
+    return forecast_short_prompts(ENGINES, known, MODEL, seconds)
 
 
 def test_a_reading_costs_nothing_while_the_rest_has_room():
-    outlook = observe(busy=ENGINES[:3])
+    outlook = forecast(busy=ENGINES[:3])
     assert outlook.compute_loss(ENGINES[3:], 2.0) == 0.0
 
 
@@ -41,19 +41,19 @@
     The last engine has seven places; of those that come in two seconds, more than a
     half would wait for the reading's end and be late.
     """
-    outlook = observe(busy=ENGINES[:3])
+    outlook = forecast(busy=ENGINES[:3])
     loss = outlook.compute_loss(ENGINES[1:], 2.0)
     coming = outlook.weight_per_second * 2.0
     assert coming / 2 < loss < coming
 
 
 def test_what_is_short_of_room_already_is_not_the_readings_cost():
-    outlook = observe(busy=ENGINES[:3], reading=ENGINES[1:])
+    outlook = forecast(busy=ENGINES[:3], reading=ENGINES[1:])
     assert outlook.compute_loss(ENGINES[1:], 2.0) == 0.0
 
 
 def test_more_readers_cost_more_and_longer_ones_too():
-    outlook = observe(busy=ENGINES[:4])
+    outlook = forecast(busy=ENGINES[:4])
     losses = [outlook.compute_loss(ENGINES[:count], 2.0) for count in (6, 8, 10)]
     assert losses == sorted(losses)
     assert losses[-1] > losses[0]
@@ -61,11 +61,13 @@
 
 
 def test_those_who_bear_the_pause_cost_nothing():
-    assert observe(busy=ENGINES, seconds=0.1).compute_loss(ENGINES, 0.1) == 0.0
-    assert Outlook().compute_loss(ENGINES, 9.0) == 0.0
+    assert forecast(busy=ENGINES, seconds=0.1).compute_loss(ENGINES, 0.1) == 0.0
+    assert ShortPromptForecast().compute_loss(ENGINES, 9.0) == 0.0
 
 
 def test_a_usual_answer_that_is_not_published_is_no_fault():
     known = {"e0": WRITING}
-    outlook = observe_outlook(ENGINES, known, replace(MODEL, usual_answer_tokens=0), 2)
+    outlook = forecast_short_prompts(
+        ENGINES, known, replace(MODEL, usual_answer_tokens=0), 2
+    )
     assert outlook.weight_per_second > 0
--- a/libraries/placement/tests/test_placement.py
+++ b/libraries/placement/tests/test_placement.py
@@ -16,7 +16,7 @@
     Refused,
 )
 from tarragonward_placement.affinity import PrefixIndex, hash_blocks
-from tarragonward_placement.lanes import ShortBudget
+from tarragonward_placement.lanes import ShortPromptBudget
 
 KV_TOKENS = 400_000
 RATE = 20_000.0
@@ -137,7 +137,7 @@
     hosts, seconds, sent = 8, 20.0, 0
     view = make_view("a", queued=[(3, 500_000)])
     for _ in range(hosts):
-        budget = ShortBudget()
+        budget = ShortPromptBudget()
         for tick in range(int(seconds * 100)):
             while budget.can_take(view, hosts, tick / 100):
                 budget.take("a", 1_000)
--- a/libraries/placement/tests/test_places.py
+++ b/libraries/placement/tests/test_places.py
@@ -1,17 +1,17 @@
 """The lanes that keep short prompts from long ones, one a failure domain."""
 
-from tarragonward_placement import EngineUsage, PromptNeed
-from tarragonward_placement.places import place_engines
+from tarragonward_placement import EngineUsage, PromptRequirements
+from tarragonward_placement.places import rank_engines
 from tarragonward_routes import EngineModel
 
 MODEL = EngineModel(8, 450_000, 46, 2_048, 0.000925, 0.000004, 0.0, 256_000, 0.0)
 DOMAINS = {f"{domain}{number}": domain for domain in "abc" for number in range(4)}
 ENGINES = sorted(DOMAINS)
-SHORT = PromptNeed(5_000, 1_000, 0.3, 0.2)
+SHORT = PromptRequirements(5_000, 1_000, 0.3, 0.2)
 
 
 def place(known, own_domain="a", domains=DOMAINS):
-    places = place_engines(SHORT, ENGINES, known, MODEL, domains, own_domain)
+    places = rank_engines(SHORT, ENGINES, known, MODEL, domains, own_domain)
     return {each.name: each for each in places}
 
 
@@ -25,7 +25,7 @@
         for number in (0, 1)
     }
     places = place(busy)
-    in_lane = [name for name, each in places.items() if not each.behind_lane]
+    in_lane = [name for name, each in places.items() if not each.beyond_pool_share]
     assert in_lane == ["a0", "b0", "b1", "c0"]
 
 
@@ -36,15 +36,19 @@
     own domain for answers, and takes others only where these are worse.
     """
     places = place({})
-    near = [name for name, each in places.items() if not each.weigh_distance()]
+    near = [name for name, each in places.items() if not each.compute_distance_cost()]
     assert near == ["a0", "a1", "a2", "a3"]
 
 
 def test_a_domain_without_engines_prefers_none():
-    assert all(each.is_near for each in place({}, own_domain="d").values())
+    assert all(each.is_local for each in place({}, own_domain="d").values())
 
 
 def test_long_prompts_take_the_ends_of_all_lanes():
     places = place({})
-    last = {name for name, each in places.items() if not each.weigh(is_long=True)}
+    last = {
+        name
+        for name, each in places.items()
+        if not each.compute_position_cost(is_long=True)
+    }
     assert last == {"a3", "b3", "c3"}
--- a/libraries/placement/tests/test_readings.py
+++ b/libraries/placement/tests/test_readings.py
@@ -12,7 +12,7 @@
     EngineUsage,
     FleetUsageTracker,
     PrefillPlan,
-    PromptNeed,
+    PromptRequirements,
     plan_prefill,
 )
 from tarragonward_placement import const as c
@@ -30,12 +30,12 @@
     pair_seconds=9.17e-11,
 )
 ENGINES = [f"e{number:02}" for number in range(12)]
-SHORT = PromptNeed(5_000, 500, 0.3, 0.2)
-LONG = PromptNeed(210_000, 800, 3.0, 0.8)
+SHORT = PromptRequirements(5_000, 500, 0.3, 0.2)
+LONG = PromptRequirements(210_000, 800, 3.0, 0.8)
 
 
 def plan(
-    need: PromptNeed,
+    need: PromptRequirements,
     known: dict[str, EngineUsage] | None = None,
     engines: list[str] | None = None,
     has_fresh_hints: bool = True,
@@ -84,7 +84,7 @@
 
 def test_joint_reading_comes_within_the_aim() -> None:
     """A prompt that takes one engine too long is read by several."""
-    longest = PromptNeed(400_000, 800, 3.0, 0.8)
+    longest = PromptRequirements(400_000, 800, 3.0, 0.8)
     assert MODEL.compute_read_seconds(400_000) > 3.0
     assert plan(longest).first_event_seconds < 3.0
 
@@ -110,7 +110,7 @@
 
 def test_prompt_beyond_one_engine_is_held_by_several() -> None:
     """The tickets and the leader's own memory hold all of it, with room left."""
-    huge = PromptNeed(900_000, 800, 3.0, 0.8)
+    huge = PromptRequirements(900_000, 800, 3.0, 0.8)
     known = {
         "e03": EngineUsage(
             decoding_requests=1, held_tokens=200_000, weights={800: 20.0}
@@ -131,7 +131,7 @@
 
 def test_prompt_beyond_all_memory_has_no_plan() -> None:
     """No group holds it, so it is refused at once."""
-    huge = PromptNeed(900_000, 800, 3.0, 0.8)
+    huge = PromptRequirements(900_000, 800, 3.0, 0.8)
     assert plan_prefill(huge, ENGINES[:2], {}, MODEL, Random(1)) is None
 
 
@@ -276,7 +276,7 @@
     """
     engines = [f"e{number:02}" for number in range(18)]
     known = {name: build_short_writers(6) for name in engines[:8]}
-    huge = PromptNeed(620_000, 800, 3.0, 1.0)
+    huge = PromptRequirements(620_000, 800, 3.0, 1.0)
     slow = replace(
         MODEL,
         read_tokens_per_second=177_000,
--- a/libraries/placement/tests/test_relocation.py
+++ b/libraries/placement/tests/test_relocation.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tarragonward_placement import EngineUsage, gains_by_moving, predict_wait
+from tarragonward_placement import EngineUsage, predict_event_wait, should_migrate
 
 PAUSE_AIM = 0.25
 
@@ -18,9 +18,9 @@
     ],
 )
 def test_a_stream_moves_where_only_elsewhere_it_is_in_time(waits, elsewhere, moves):
-    assert gains_by_moving(waits, elsewhere, PAUSE_AIM) is moves
+    assert should_migrate(waits, elsewhere, PAUSE_AIM) is moves
 
 
 def test_a_slow_engine_holds_its_writers_longer():
     work = EngineUsage(prefill_seconds=0.2, slowdown=2.0)
-    assert predict_wait(work, 0.05) == pytest.approx(0.5)
+    assert predict_event_wait(work, 0.05) == pytest.approx(0.5)
--- a/libraries/placement/tests/test_summaries.py
+++ b/libraries/placement/tests/test_summaries.py
@@ -3,10 +3,10 @@
 import msgpack
 import pytest
 
-from tarragonward_placement import FleetUsageTracker, PrefillPlan, PromptNeed
+from tarragonward_placement import FleetUsageTracker, PrefillPlan, PromptRequirements
 from tarragonward_placement import const as c
 
-LONG = PromptNeed(260_000, 700, 4.0, 1.0)
+LONG = PromptRequirements(260_000, 700, 4.0, 1.0)
 CELL = ("e1", "e2", "e3")
 
 
--- a/libraries/placement/tests/test_target_limits.py
+++ b/libraries/placement/tests/test_target_limits.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from tarragonward_placement import HostView, LimitEntry, TargetLimits, compute_part
+from tarragonward_placement import (
+    HostView,
+    LimitEntry,
+    TargetLimits,
+    compute_host_share,
+)
 
 TARGET = 7
 WINDOW = 4.0
@@ -16,7 +21,7 @@
 
 def make_limits(rate=1.0, now=0.0, seed=1):
     limits = TargetLimits(random.Random(seed))
-    limits.note_named(TARGET, rate, now)
+    limits.record_advertised(TARGET, rate, now)
     return limits
 
 
@@ -29,7 +34,7 @@
 @pytest.mark.parametrize("rate", [0.05, 0.3, 1.0, 2.5, 40.0, 1_000.0])
 def test_parts_add_up_to_no_more_than_the_rate_and_some_are_served(hosts, rate):
     known = name_hosts(hosts)
-    parts = [compute_part(TARGET, rate, HostView(h, known, hosts)) for h in known]
+    parts = [compute_host_share(TARGET, rate, HostView(h, known, hosts)) for h in known]
     assert 0.8 * rate < sum(parts) <= rate
     # What all have saved up at once, and what they earn in a window.
     saved = sum(part > 0 for part in parts)
@@ -42,7 +47,9 @@
     hosts, parts = 195, []
     for first, count in ((0, 150), (150, 45)):
         known = name_hosts(count, first)
-        parts += [compute_part(TARGET, rate, HostView(h, known, hosts)) for h in known]
+        parts += [
+            compute_host_share(TARGET, rate, HostView(h, known, hosts)) for h in known
+        ]
     saved = sum(part > 0 for part in parts)
     assert saved + sum(parts) * WINDOW <= count_allowed(rate)
 
@@ -50,7 +57,7 @@
 def test_a_host_that_knows_few_of_many_uses_no_target_that_takes_little():
     """A host that has just started would take the whole limit for itself."""
     view = HostView("h1", name_hosts(3), 195)
-    assert compute_part(TARGET, 1.0, view) == 0.0
+    assert compute_host_share(TARGET, 1.0, view) == 0.0
 
 
 @pytest.mark.parametrize("rate", [0.3, 1.0, 8.0])
@@ -76,7 +83,7 @@
     limits.record_send(TARGET)
     assert not limits.may_send(TARGET, view, 1.0)
     assert 0 < limits.compute_wait(TARGET, view, 1.0) <= 20.0
-    assert limits.note_named(TARGET, None, 2.0)
+    assert limits.record_advertised(TARGET, None, 2.0)
     assert limits.may_send(TARGET, view, 2.0)
     assert not len(limits)
 
@@ -87,15 +94,15 @@
     for told in (entries, entries[::-1]):
         limits = make_limits(2.0, now=-9.0)
         for entry in told:
-            limits.take(entry, 0.0)
+            limits.apply_entry(entry, 0.0)
         assert not limits.is_limited(TARGET)
 
 
 def test_news_is_told_once():
     limits = make_limits(1.0)
-    assert not limits.note_named(TARGET, 1.0, 1.0)
-    assert limits.note_named(TARGET, 2.0, 2.0)
-    assert not limits.note_named(8, None, 2.0)
+    assert not limits.record_advertised(TARGET, 1.0, 1.0)
+    assert limits.record_advertised(TARGET, 2.0, 2.0)
+    assert not limits.record_advertised(8, None, 2.0)
 
 
 def test_what_was_not_sent_is_given_back():
@@ -103,7 +110,7 @@
     view = HostView("h0", name_hosts(1), 1)
     limits.may_send(TARGET, view, 1_000.0)
     limits.record_send(TARGET)
-    limits.return_send(TARGET)
+    limits.refund_send(TARGET)
     assert limits.may_send(TARGET, view, 1_000.0)
 
 
--- a/libraries/placement/tests/test_widening.py
+++ b/libraries/placement/tests/test_widening.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from tarragonward_placement import EngineUsage, PromptNeed, plan_prefill, widen_plan
+from tarragonward_placement import (
+    EngineUsage,
+    PromptRequirements,
+    plan_prefill,
+    widen_plan,
+)
 from tarragonward_routes import EngineModel
 
 MODEL = EngineModel(
@@ -18,8 +23,8 @@
     read_tokens_per_second=154_000.0,
     pair_seconds=1.62e-10,
 )
-LONG = PromptNeed(260_000, 700, 4.0, 1.0)
-SHORT = PromptNeed(5_000, 500, 0.3, 0.25)
+LONG = PromptRequirements(260_000, 700, 4.0, 1.0)
+SHORT = PromptRequirements(5_000, 500, 0.3, 0.25)
 NEAR = [f"near{number}" for number in range(20)]
 FAR = [f"far{number}" for number in range(20)]
 READING = EngineUsage(prefilling_requests=1, helper_parts=1, prefill_seconds=4.0)
