--- a/libraries/membership/tests/test_demands.py
+++ b/libraries/membership/tests/test_demands.py
@@ -17,18 +17,18 @@
     return digest
 
 
-@pytest.mark.parametrize("is_near", [True, False])
-def test_demand_of_many_accounts_travels_in_few_bytes(is_near):
-    """A large fleet's messages have 60 bytes for demand, and 16 accounts need 100.
+@pytest.mark.parametrize("is_local", [True, False])
+def test_demand_of_many_accounts_fits_the_byte_limit(is_local):
+    """A demand too large for a message was never sent and blocked all other demands.
 
-    What did not fit was not sent at all, and kept all other demands back as well.
-    The largest accounts are sent, and the others in one sum.
+    The messages of a large fleet have 60 bytes for demand, and 16 accounts need 100.
+    Now the largest accounts are sent, and the others as one sum.
     """
     sender, receiver = build_digest(1), build_digest(2)
     sender.set_own_rates(RATES, 0.0)
-    items = sender.encode(60, is_near, 0.0)
+    items = sender.encode(60, is_local, 0.0)
     assert 0 < len(msgpack.packb(items)) <= 60
-    if not is_near:
+    if not is_local:
         receiver = DemandDigest(Address("10.0.0.1", 2), "b")
         receiver.set_accounts(ACCOUNTS)
     receiver.merge(items, 0.0)
@@ -38,7 +38,7 @@
     assert demand[OTHER_ACCOUNTS] > 0
 
 
-def test_demand_that_is_set_at_each_request_leaves_room_for_that_of_others():
+def test_frequent_updates_of_own_demand_do_not_displace_that_of_other_hosts():
     digest = build_digest(1)
     other = build_digest(2)
     other.set_own_rates(RATES, 0.0)
@@ -50,7 +50,7 @@
     assert keys == {"10.0.0.1:1", "10.0.0.1:2"}
 
 
-def test_demand_of_hosts_not_heard_of_is_reckoned_from_the_others_in_a_large_domain():
+def test_unknown_demand_in_a_large_domain_is_extrapolated_from_known_hosts():
     digest = build_digest(1)
     for port in range(2, 12):
         other = build_digest(port)
--- a/libraries/membership/tests/test_membership.py
+++ b/libraries/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership's decisions on a fake network, one failure each."""
+"""Tests of membership on a fake network, each for one kind of failure."""
 
 from dataclasses import replace
 
@@ -40,13 +40,11 @@
 
 
 @pytest.mark.parametrize("is_one_way", [True, False])
-def test_a_host_that_one_cannot_reach_is_not_suspected_when_others_can(
-    network, is_one_way
-):
-    """A path is broken; sweeps must not cancel the streams behind it.
+def test_host_reachable_through_helpers_is_not_suspected(network, is_one_way):
+    """A broken path between two hosts must not let a sweep cancel live streams.
 
-    The first host's probes to the second are lost, or all between them. Helpers of
-    its domain reach it, so it is neither suspected nor gone while the cut lasts.
+    Probes from the first host to the second are lost, in one or both directions.
+    Helpers of its domain reach it, so it is neither suspected nor gone meanwhile.
     """
     first, second, *_ = network.hosts.values()
     network.cut([first], [second])
@@ -58,46 +56,46 @@
         assert not first.membership.is_gone(second.membership.identity, network.now)
 
 
-def test_a_frozen_host_that_wakes_declares_nobody_dead(network):
-    """A paused host wakes with every probe overdue; owners' streams must go on.
+def test_host_resumed_after_a_pause_declares_no_host_dead(network):
+    """A host that resumes with overdue probes must not let live owners be swept.
 
-    It was itself that did not listen. It drops the overdue probes, and at no moment
-    after it woke is any live host dead or gone to it.
+    It did not read the answers while it was paused. It drops the overdue probes, and
+    at no time after it resumed does it consider a live host dead or gone.
     """
-    frozen, *others = network.hosts.values()
-    network.freeze(frozen)
+    paused, *others = network.hosts.values()
+    network.freeze(paused)
     network.run(30)
-    assert get_state(others[0], frozen) is MemberState.DEAD
-    network.wake(frozen)
+    assert get_state(others[0], paused) is MemberState.DEAD
+    network.wake(paused)
     for _ in range(100):
         for other in others:
-            assert get_state(frozen, other) is not MemberState.DEAD
-            assert not frozen.membership.is_gone(other.membership.identity, network.now)
+            assert get_state(paused, other) is not MemberState.DEAD
+            assert not paused.membership.is_gone(other.membership.identity, network.now)
         network.run(0.1)
     assert network.find_disagreement() is None
 
 
-def test_a_host_that_returns_has_another_life_and_the_former_is_gone(network):
-    """An owner dies and comes back at once; its former life's streams must go.
+def test_restarted_host_ends_its_previous_incarnation(network):
+    """An owner restarts before it is suspected; its old streams must be swept.
 
-    Nobody has suspected it. Sweeps ask about the former life; the new one answers the
-    next probe, which ends the former for them, and is never taken for gone itself.
+    Sweeps query the previous incarnation. The new one answers the next probe, which
+    ends the previous one, and never counts as gone itself.
     """
     returned, *others = network.hosts.values()
     network.kill(returned)
     network.run(0.2)
     network.start(returned)
-    former = returned.former[0]
+    previous = returned.former[0]
     for _ in range(40):
         network.run(0.25)
         for other in others:
             now = network.now
             assert not other.membership.is_gone(returned.membership.identity, now)
-            other.membership.is_gone(former, now)
-    assert all(h.membership.is_gone(former, network.now) for h in others)
+            other.membership.is_gone(previous, now)
+    assert all(h.membership.is_gone(previous, network.now) for h in others)
 
 
-def test_a_life_that_was_never_heard_of_is_gone_once_its_address_stays_silent(network):
+def test_unknown_incarnation_is_gone_once_its_address_stays_silent(network):
     host = next(iter(network.hosts.values()))
     unknown = HostIdentity(Address("10.9.9.9", 7_000), 5)
     assert not host.membership.is_gone(unknown, network.now)
@@ -107,11 +105,11 @@
     assert host.membership.is_gone(unknown, network.now)
 
 
-def test_a_younger_life_is_not_gone_because_an_old_record_comes_late():
-    """A rumour of the former life arrives after the new life was heard of.
+def test_delayed_record_of_an_old_incarnation_does_not_end_the_new_one():
+    """A delayed record of the previous incarnation must not let the new one be swept.
 
-    The former life's record has the greater version and wins for a moment. The new
-    life's streams must not be swept: only an answer to a probe ends a life.
+    It arrives after the new incarnation was heard of, and its higher version wins for a
+    moment. Only an answer to a probe ends an incarnation.
     """
     own = HostIdentity(Address("10.0.0.1", 7_000), 1)
     new = HostIdentity(Address("10.0.0.2", 7_000), 2)
@@ -120,8 +118,14 @@
     listed = tuple(h.listed for h in members.hosts.values())
     membership.handle(HostListRead(listed), 0.0)
     assert not membership.is_gone(new, 0.1)
-    late = HostIdentity(new.address, 3)
-    record = (bytes([10, 0, 0, 2]), 7_000, late.incarnation, 9, int(RecordState.ALIVE))
+    delayed = HostIdentity(new.address, 3)
+    record = (
+        bytes([10, 0, 0, 2]),
+        7_000,
+        delayed.incarnation,
+        9,
+        int(RecordState.ALIVE),
+    )
     probe = members.hosts[new.address].membership.build_gossip(own.address, 0.2)
     message = replace(probe, records=(record,))
     sender = HostIdentity(Address("10.0.0.3", 7_000), 4)
@@ -129,16 +133,17 @@
     assert not membership.is_gone(new, 0.3)
 
 
-def test_an_isolated_host_does_not_make_others_dead_to_the_rest(network):
-    """One host was cut off, declares all dead, and is joined again.
+def test_isolated_host_does_not_make_others_dead_to_the_rest(network):
+    """A host that was partitioned declares all others dead, then rejoins.
 
-    Its word must not be taken: at no moment is a live host dead to a third one.
+    Its records must not be believed: at no time does a third host consider a live one
+    dead.
     """
-    alone, *others = network.hosts.values()
-    network.cut([alone], others)
-    network.cut(others, [alone])
+    isolated, *others = network.hosts.values()
+    network.cut([isolated], others)
+    network.cut(others, [isolated])
     network.run(30)
-    assert all(get_state(alone, other) is MemberState.DEAD for other in others)
+    assert all(get_state(isolated, other) is MemberState.DEAD for other in others)
     network.heal()
     for _ in range(80):
         network.run(0.25)
@@ -149,7 +154,7 @@
     assert network.find_disagreement() is None
 
 
-def test_a_list_that_lags_removes_nobody_who_is_heard(network):
+def test_outdated_host_list_removes_no_live_host(network):
     host, other, *_ = network.hosts.values()
     lagging = tuple(
         h.listed for h in network.hosts.values() if h.address != other.address
@@ -163,8 +168,8 @@
     assert get_state(host, other) is MemberState.ALIVE
 
 
-def test_probes_do_not_grow_with_the_hosts():
-    """Each host probes one of its domain a round, and only bridges go across."""
+def test_probe_rate_does_not_grow_with_the_number_of_hosts():
+    """Each host probes one local host a round, and only bridges other domains."""
     plan = NetworkPlan(failure_domains=("a", "b"), hosts_per_domain=30)
     network = FakeNetwork(plan, seed=3)
     network.run(20)
@@ -185,26 +190,26 @@
     return membership._schedule.is_bridge(membership._members, other)
 
 
-def test_a_host_that_slept_through_a_suspicion_does_not_end_it_as_death(network):
-    """A host hears a suspicion, is paused past its end, and wakes.
+def test_host_paused_past_a_suspicion_does_not_declare_death(network):
+    """A host receives a suspicion, and is paused until after the suspicion time.
 
-    The refutation came while it slept and is still unread. Were the suspicion's end
-    taken as it stands, the live host's streams would be swept.
+    The refutation arrived during the pause and is still unread. If the suspicion
+    expired on resuming, the streams of a live host would be swept.
     """
     first, second, *_ = network.hosts.values()
     deliver(network, first, second, RecordState.SUSPECT)
-    woken = network.now + 30
-    first.membership.handle(Tick(), woken)
+    resumed_at = network.now + 30
+    first.membership.handle(Tick(), resumed_at)
     assert get_state(first, second) is MemberState.SUSPECT
-    assert not first.membership.is_gone(second.membership.identity, woken)
+    assert not first.membership.is_gone(second.membership.identity, resumed_at)
 
 
 @pytest.mark.parametrize("state", [RecordState.SUSPECT, RecordState.DEAD])
-def test_nobody_dies_of_another_hosts_word(network, state):
-    """A host that was cut off says that a live one is dead; it is given its time.
+def test_reported_death_counts_only_as_suspicion(network, state):
+    """A host that was partitioned reports a live one as dead.
 
-    The word counts as suspicion. The one that it is about hears of it and refutes it,
-    and at no moment is it dead or gone to anybody.
+    The report counts as a suspicion, which the live host refutes in time. At no time
+    does any host consider it dead or gone.
     """
     first, second, *_ = network.hosts.values()
     deliver(network, first, second, state)
@@ -214,24 +219,24 @@
         for host in network.hosts.values():
             if host is not second:
                 assert get_state(host, second) is not MemberState.DEAD
-                life = second.membership.identity
-                assert not host.membership.is_gone(life, network.now)
+                identity = second.membership.identity
+                assert not host.membership.is_gone(identity, network.now)
     assert network.find_disagreement() is None
 
 
 def deliver(network, host, other, state):
-    """Let a host hear that another is in a state, at its newest version."""
-    life = other.membership.identity
+    """Deliver a record with this state at the other host's current version."""
+    identity = other.membership.identity
     version = other.membership._own.version
-    record = MemberRecord(life, version, state).pack()
+    record = MemberRecord(identity, version, state).pack()
     sender = list(network.hosts.values())[-1].membership
     probe = sender.build_gossip(host.address, network.now)
     message = replace(probe, records=(record,))
     host.membership.handle(GossipReceived(sender.identity, message), network.now)
 
 
-def test_halves_of_one_domain_find_each_other_after_a_cut():
-    """Each half holds the other for dead, so nobody would probe across again."""
+def test_halves_of_one_domain_rejoin_after_a_partition():
+    """Each half considers the other dead and would never probe it again."""
     network = FakeNetwork(NetworkPlan(("a",), 4), seed=5)
     network.run(10)
     hosts = list(network.hosts.values())
@@ -244,26 +249,26 @@
     assert network.find_disagreement() is None
 
 
-def test_a_host_that_starts_after_a_death_in_another_domain_hears_of_it():
-    """It is no bridge, so it never probes the dead host that is still listed.
+def test_host_started_after_a_death_in_another_domain_learns_of_it():
+    """A host that starts late_host would consider a dead owner available forever.
 
-    The rumour of the suspicion is over. Only the records told in turn are left to
-    tell it; without them an owner that died would count as there for good.
+    It is no bridge, so it never probes the dead host, which is still listed, and the
+    suspicion is no longer gossiped. Only the records sent in rotation tell it.
     """
     network = FakeNetwork(NetworkPlan(("a", "b"), 5), seed=6)
     network.run(10)
     dead, *_ = network.hosts.values()
-    late = next(
+    late_host = next(
         host
         for host in network.hosts.values()
         if host.listed.failure_domain == "b" and not is_bridge(host, "b", "a")
     )
-    network.kill(late)
+    network.kill(late_host)
     network.kill(dead)
     network.run(60)
-    network.start(late)
+    network.start(late_host)
     network.run(30)
-    assert get_state(late, dead) is MemberState.DEAD
+    assert get_state(late_host, dead) is MemberState.DEAD
 
 
 def test_each_target_is_watched_by_two_hosts_of_its_domain(network):
@@ -287,12 +292,12 @@
     assert len(watchers) == 2
 
 
-def test_a_load_report_reaches_all_nine_hosts_within_about_a_second(network):
+def test_load_report_reaches_all_nine_hosts_within_about_a_second(network):
     targets = {"engine-1": "a"}
     for host in network.hosts.values():
         domain = host.listed.failure_domain
-        near = {name: home == domain for name, home in targets.items()}
-        host.membership.loads.set_targets(near)
+        is_local_by_target = {name: home == domain for name, home in targets.items()}
+        host.membership.loads.set_targets(is_local_by_target)
     ages = []
     for _ in range(40):
         read_at = network.now
@@ -303,7 +308,7 @@
                 host.membership.loads.record(report)
         network.run(0.5)
         ages += [network.now - get_reported_at(host) for host in hosts]
-    # The first reports have not arrived yet; each is 0.5 s old when it is looked at.
+    # Skip the first samples, before reports arrive. Each report is read 0.5 s later.
     ages = sorted(ages[45:])
     assert ages[len(ages) // 2] <= 1.0
     assert ages[-len(ages) // 20] <= 2.0
@@ -326,14 +331,14 @@
         assert demand["shelfwise"] == pytest.approx(800, rel=0.1)
 
 
-def test_a_host_that_drains_is_leaving_for_the_others(network):
+def test_draining_host_is_leaving_for_the_others(network):
     leaving, *others = network.hosts.values()
     leaving.membership.set_leaving()
     network.run(5)
     assert all(get_state(other, leaving) is MemberState.LEAVING for other in others)
 
 
-def test_a_probe_goes_out_in_the_first_tick():
+def test_first_tick_sends_a_probe():
     network = FakeNetwork(NetworkPlan(), seed=4)
     host = next(iter(network.hosts.values()))
     effects = host.membership.handle(Tick(), 0.0)
--- a/libraries/membership/tests/test_membership_runs.py
+++ b/libraries/membership/tests/test_membership_runs.py
@@ -1,4 +1,4 @@
-"""Randomised runs of the decisions of membership, with fixed seeds."""
+"""Randomised runs of membership with fixed seeds."""
 
 import pytest
 
@@ -18,11 +18,11 @@
     run_membership(seed)
 
 
-def test_a_host_that_missed_the_suspicion_learns_of_a_death():
-    """A host of another domain takes a dead owner for alive, for good.
+def test_host_that_missed_the_suspicion_learns_of_a_death():
+    """A host of another domain considers a dead owner alive forever.
 
-    Seed 155: the suspicion's rumour was lost on its way to one host of another
-    domain. Death is not passed on and no one probes a dead host there, so nothing
-    ever told it. The records in turn must hold the dead as well.
+    With seed 155 the gossiped suspicion does not reach one host of another domain.
+    Deaths are not gossiped, and that host does not probe the dead one, so the records
+    sent in rotation must include dead hosts.
     """
     run_membership(155)
--- a/libraries/membership/tests/test_registry.py
+++ b/libraries/membership/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry of boots: records in any order, none comes back."""
+"""Tests of the target registry: records in any order, no boot is restored."""
 
 import random
 from dataclasses import replace
@@ -15,7 +15,7 @@
 
 
 def build(target_id, revision, is_ready=True, service="s", port=None):
-    """Return a record of a boot, by default at an address of its own."""
+    """Return a record of a boot, by default at its own address."""
     port = port or 8000 + int(target_id.removeprefix("i-"))
     return RegisteredTarget(
         target_id, service, Address("10.0.0.1", port), "a", 8, is_ready, revision
@@ -31,7 +31,7 @@
     return [target.id for target in registry.get_ready(service)]
 
 
-def test_a_target_that_drains_gets_nothing_new(registry):
+def test_draining_target_is_not_ready(registry):
     registry.apply(build("i-1", 1))
     registry.apply(build("i-2", 2))
     assert get_ready_ids(registry) == ["i-1", "i-2"]
@@ -39,11 +39,11 @@
     assert get_ready_ids(registry) == ["i-2"]
 
 
-def test_a_late_record_does_not_bring_a_boot_back(registry):
-    """A peer passes on a record that is older than the withdrawal heard since.
+def test_delayed_record_does_not_restore_a_withdrawn_boot(registry):
+    """A peer sends a record that is older than the withdrawal already applied.
 
-    The boot is gone and its address may be another's; a caller's request sent there
-    would be refused at best, so the older record changes nothing.
+    The boot has ended and its address may belong to another one, so a request sent
+    there would be refused at best. The older record changes nothing.
     """
     registry.apply(build("i-1", 5))
     assert registry.apply(WithdrawnTarget("i-1", 9))
@@ -53,7 +53,7 @@
     assert get_ready_ids(registry) == ["i-1"]
 
 
-def test_a_withdrawal_before_the_record_is_heard_holds(registry):
+def test_withdrawal_applied_before_an_older_record_holds(registry):
     registry.apply(WithdrawnTarget("i-1", 9))
     assert not registry.apply(build("i-1", 5))
     assert len(registry) == 0
@@ -61,11 +61,11 @@
 
 @pytest.mark.parametrize("service", ["s", "other"])
 @pytest.mark.parametrize("is_ready", [True, False])
-def test_a_boot_whose_address_a_newer_one_has_gets_nothing(registry, service, is_ready):
-    """A caller hears 503 though the service has targets that are well.
+def test_boot_whose_address_was_reused_is_not_ready(registry, service, is_ready):
+    """A caller gets 503 although the service has healthy targets.
 
-    Two targets crash, and their addresses go to new boots. The old records stand until
-    they lapse; being idle both are chosen, the new boots refuse as misdirected, and the
+    Two targets crash, and new boots get their addresses. Until the old records expire,
+    both targets look idle and are chosen, the new boots refuse as misdirected, and the
     request's two attempts are used up.
     """
     registry.apply(build("i-1", 1, port=8001))
@@ -78,7 +78,7 @@
     assert ("i-9" in get_ready_ids(registry, service)) is is_ready
 
 
-def test_the_order_of_records_does_not_decide_who_has_an_address(registry):
+def test_address_holder_does_not_depend_on_the_order_of_records(registry):
     registry.apply(build("i-9", 4, port=8001))
     registry.apply(build("i-1", 1, port=8001))
     assert get_ready_ids(registry) == ["i-9"]
@@ -86,7 +86,7 @@
     assert get_ready_ids(registry) == ["i-1"]
 
 
-def test_a_whole_reading_withdraws_what_it_lacks_but_nothing_newer(registry):
+def test_snapshot_withdraws_missing_targets_but_no_newer_ones(registry):
     registry.apply(build("i-1", 1))
     registry.apply(build("i-3", 30))
     registry.apply_snapshot([build("i-2", 2)], revision=20)
@@ -95,32 +95,32 @@
 
 @pytest.mark.parametrize("seed", range(50))
 def test_records_in_any_order_lead_to_the_same_targets(seed):
-    drawn = random.Random(seed)
+    rng = random.Random(seed)
     records = []
     for revision in range(1, 60):
-        target_id = f"i-{drawn.randrange(8)}"
-        if drawn.random() < 0.3:
+        target_id = f"i-{rng.randrange(8)}"
+        if rng.random() < 0.3:
             records.append(WithdrawnTarget(target_id, revision))
         else:
-            is_ready, port = drawn.random() < 0.7, 8000 + drawn.randrange(6)
+            is_ready, port = rng.random() < 0.7, 8000 + rng.randrange(6)
             records.append(build(target_id, revision, is_ready, port=port))
-    in_order, mixed = TargetRegistry(), TargetRegistry()
+    in_order, shuffled = TargetRegistry(), TargetRegistry()
     for record in records:
         in_order.apply(record)
-    drawn.shuffle(records)
+    rng.shuffle(records)
     for record in records + records[:20]:
-        mixed.apply(record)
-    assert mixed.get_ready("s") == in_order.get_ready("s")
-    assert mixed.revision == in_order.revision
+        shuffled.apply(record)
+    assert shuffled.get_ready("s") == in_order.get_ready("s")
+    assert shuffled.revision == in_order.revision
 
 
-def start(name, born, revision, **fields):
-    """Return a record of the boot of a target that started at a time of its own."""
+def start(name, incarnation, revision, **fields):
+    """Return a record of the boot of a target that started at the given time."""
     record = build(name, revision, **fields)
-    return replace(record, id=build_boot_id(name, born), incarnation=born)
+    return replace(record, id=build_boot_id(name, incarnation), incarnation=incarnation)
 
 
-def test_a_boot_under_the_same_name_is_another_target(registry):
+def test_new_boot_supersedes_the_previous_one_of_its_name(registry):
     registry.apply(start("i-1", 1_000, 1))
     first = registry.get("i-1")
     assert registry.apply(start("i-1", 2_000, 2))
@@ -129,22 +129,22 @@
     assert registry.is_current_boot(registry.get("i-1"))
 
 
-@pytest.mark.parametrize("clock", [2_000, 500])
-def test_a_late_record_of_an_earlier_boot_changes_nothing(registry, clock):
-    """An engine starts again, by a clock that may be wrong, and is heard.
+@pytest.mark.parametrize("second_incarnation", [2_000, 500])
+def test_delayed_record_of_an_earlier_boot_is_ignored(registry, second_incarnation):
+    """A record of an ended boot reaches the store after that of its successor.
 
-    Then the store takes what its earlier boot wrote before it ended: a newer revision
-    that tells of a boot which is gone. The one that runs stays in use.
+    Its revision is newer, and the restarted engine's clock may be wrong, so neither
+    orders the boots. The running boot must stay in use.
     """
     registry.apply(start("i-1", 1_000, 1))
-    registry.apply(start("i-1", clock, 5))
+    registry.apply(start("i-1", second_incarnation, 5))
     assert not registry.apply(start("i-1", 1_000, 6, is_ready=False))
-    assert get_ready_ids(registry) == [build_boot_id("i-1", clock)]
-    assert registry.apply(start("i-1", clock, 8, is_ready=False))
+    assert get_ready_ids(registry) == [build_boot_id("i-1", second_incarnation)]
+    assert registry.apply(start("i-1", second_incarnation, 8, is_ready=False))
     assert get_ready_ids(registry) == []
 
 
-def test_an_earlier_boot_stays_over_across_a_withdrawal(registry):
+def test_superseded_boot_stays_superseded_across_a_withdrawal(registry):
     registry.apply(start("i-1", 1_000, 1))
     registry.apply(WithdrawnTarget("i-1", 2))
     registry.apply(start("i-1", 2_000, 3))
@@ -153,10 +153,10 @@
     assert registry.apply(start("i-1", 2_000, 6))
 
 
-def test_a_record_of_no_known_service_holds_no_address(registry):
-    """Another writer leaves an entry with an engine's address and an unknown service.
+def test_record_of_an_unknown_service_claims_no_address(registry):
+    """Another writer leaves a record with an engine's address and an unknown service.
 
-    It is the newest record at that address; taken for its holder, the engine that is
+    It is the newest record at that address. If it claimed the address, the engine
     there would get no more work.
     """
     registry.set_services(["s"])
--- a/libraries/membership/tests/test_seeds.py
+++ b/libraries/membership/tests/test_seeds.py
@@ -1,4 +1,4 @@
-"""Hosts that find each other by seeds, on a fake clock and network."""
+"""Tests of membership by seeds on a fake clock and network."""
 
 import random
 
@@ -30,8 +30,8 @@
     return Address(f"10.{number // 200}.0.{number % 200 + 1}", PORT)
 
 
-class Net:
-    """Hosts that tell each other in rounds; pairs in cuts lose all."""
+class FakeNetwork:
+    """Hosts that exchange hellos in rounds; pairs in cuts lose all of them."""
 
     def __init__(self, seed, count, domains=3, seeds=(0, 1, 2)):
         self.random = random.Random(seed)
@@ -69,230 +69,242 @@
         while self.now < end:
             self.now += step
             for host in list(self.hosts.values()):
-                self.carry(host, host.handle(RoundDue(500), self.now))
+                self.deliver(host, host.handle(RoundDue(500), self.now))
 
-    def carry(self, host, effects):
-        targets = [a for e in effects if isinstance(e, SendHello) for a in e.addresses]
-        if not targets:
+    def deliver(self, host, effects):
+        receivers = [
+            a for e in effects if isinstance(e, SendHello) for a in e.addresses
+        ]
+        if not receivers:
             return
         address = host.own.address
         hello = Hello.unpack(address, host.build_hello(self.now).pack())
-        self.bytes += 500 * len(targets)
-        for target in targets:
-            lost = self.random.random() < self.loss or self.is_cut(address, target)
-            if target in self.hosts and not lost:
-                other = self.hosts[target]
-                self.carry(other, other.handle(HelloReceived(hello), self.now))
-
-    def has_whole_view(self):
-        lives = {host.own for host in self.hosts.values()}
+        self.bytes += 500 * len(receivers)
+        for receiver in receivers:
+            lost = self.random.random() < self.loss or self.is_cut(address, receiver)
+            if receiver in self.hosts and not lost:
+                other = self.hosts[receiver]
+                self.deliver(other, other.handle(HelloReceived(hello), self.now))
+
+    def has_complete_views(self):
+        identities = {host.own for host in self.hosts.values()}
         return all(
-            {peer.identity for peer in host.get_peers()} == lives - {host.own}
+            {peer.identity for peer in host.get_peers()} == identities - {host.own}
             for host in self.hosts.values()
         )
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_all_are_found_through_a_seed_that_is_alive(seed):
-    net = Net(seed, 9, seeds=(4, 77, 78))
-    net.run(1.0)
-    assert net.has_whole_view()
+def test_all_hosts_are_found_through_one_live_seed(seed):
+    network = FakeNetwork(seed, 9, seeds=(4, 77, 78))
+    network.run(1.0)
+    assert network.has_complete_views()
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_views_agree_after_restarts_losses_and_a_cut(seed):
-    """A cut and restarts behind it; the views are whole soon after the last fault."""
-    net = Net(seed, 9)
-    net.run(2.0)
-    net.loss = 0.1
-    net.cut([build_address(number) for number in range(0, 9, 3)])
-    net.run(6.0)
-    for number in net.random.sample(range(9), 4):
-        net.start(number)
-    del net.hosts[build_address(8)]
-    net.run(1.0)
-    net.cuts.clear()
-    net.loss = 0.0
-    net.run(5.0)
-    assert net.has_whole_view()
-
-
-def test_only_a_host_that_should_have_peers_is_isolated():
-    """The one host of a small site must not be taken for one that is cut off."""
-    alone, fleet = Net(1, 1, seeds=(0,)), Net(1, 3)
-    assert not alone.hosts[build_address(0)].is_isolated
+def test_views_agree_after_restarts_losses_and_a_partition(seed):
+    """Hosts restart during a partition; views must be complete soon after it heals."""
+    network = FakeNetwork(seed, 9)
+    network.run(2.0)
+    network.loss = 0.1
+    network.cut([build_address(number) for number in range(0, 9, 3)])
+    network.run(6.0)
+    for number in network.random.sample(range(9), 4):
+        network.start(number)
+    del network.hosts[build_address(8)]
+    network.run(1.0)
+    network.cuts.clear()
+    network.loss = 0.0
+    network.run(5.0)
+    assert network.has_complete_views()
+
+
+def test_only_a_host_with_other_seeds_is_isolated():
+    """The only host of a small site must not be taken for a partitioned one."""
+    single, fleet = FakeNetwork(1, 1, seeds=(0,)), FakeNetwork(1, 3)
+    assert not single.hosts[build_address(0)].is_isolated
     assert all(host.is_isolated for host in fleet.hosts.values())
     fleet.run(2.0)
     assert not any(host.is_isolated for host in fleet.hosts.values())
 
 
-def test_a_host_whose_seeds_are_all_dead_is_found_by_those_it_knew():
-    """After a cut both sides are alone; no seed of the one side is alive.
+def test_host_whose_seeds_are_all_dead_is_found_by_its_former_peers():
+    """After a partition heals, a host without live seeds would stay single.
 
-    The hosts that were lost are asked now and then, so the sides meet again.
+    Hosts send hellos to lost peers at intervals, so the two sides rejoin.
     """
-    net = Net(1, 6)
-    net.run(2.0)
+    network = FakeNetwork(1, 6)
+    network.run(2.0)
     for number in (0, 1, 2):
-        del net.hosts[build_address(number)]
-    net.cut([build_address(3)])
-    net.run(6.0)
-    assert net.hosts[build_address(3)].count_hosts() == 1
-    net.cuts.clear()
-    net.run(8.0)
-    assert net.has_whole_view()
-
-
-def test_a_large_fleet_knows_itself_within_a_bound_of_bytes():
-    net = Net(3, 320, domains=4)
-    net.run(16.0)
-    net.bytes = 0
-    net.run(4.0)
-    assert net.bytes / 4.0 / 320 <= 3_000
-    known = [host.count_hosts() for host in net.hosts.values()]
+        del network.hosts[build_address(number)]
+    network.cut([build_address(3)])
+    network.run(6.0)
+    assert network.hosts[build_address(3)].count_hosts() == 1
+    network.cuts.clear()
+    network.run(8.0)
+    assert network.has_complete_views()
+
+
+def test_large_fleet_finds_all_hosts_within_the_byte_limit():
+    network = FakeNetwork(3, 320, domains=4)
+    network.run(16.0)
+    network.bytes = 0
+    network.run(4.0)
+    assert network.bytes / 4.0 / 320 <= 3_000
+    known = [host.count_hosts() for host in network.hosts.values()]
     assert sum(known) / 320 >= 310
 
 
-def test_mates_are_greeted_in_each_round_also_in_a_large_fleet():
-    net = Net(3, 60)
-    net.run(12.0)
-    host = next(iter(net.hosts.values()))
-    mates = [peer.identity.address for peer in host.get_peers()][:8]
-    host.set_cell_peers(mates)
-    greets = [
-        e for e in host.handle(RoundDue(500), net.now) if isinstance(e, SendHello)
+def test_cell_peers_get_a_hello_in_each_round_of_a_large_fleet():
+    network = FakeNetwork(3, 60)
+    network.run(12.0)
+    host = next(iter(network.hosts.values()))
+    cell_peers = [peer.identity.address for peer in host.get_peers()][:8]
+    host.set_cell_peers(cell_peers)
+    hellos = [
+        e for e in host.handle(RoundDue(500), network.now) if isinstance(e, SendHello)
     ]
-    assert set(mates) <= {address for greet in greets for address in greet.addresses}
-    brief = host.build_hello(net.now, is_brief=True)
+    assert set(cell_peers) <= {
+        address for hello in hellos for address in hello.addresses
+    }
+    brief = host.build_hello(network.now, is_brief=True)
     assert brief.entries == ()
     assert brief.identity == host.own
 
 
-def test_tens_of_mates_that_had_news_are_not_told_again_in_the_next_rounds():
-    """Each host of a domain sends and reads some 86 datagrams a second at 195 hosts.
+def test_many_cell_peers_get_no_repeat_in_rounds_after_an_immediate_update():
+    """Rounds that repeat immediate updates would overload hosts of a large cell.
 
-    All that counts is told at once. Rounds that tell it again use up the bytes and the
-    time of both ends; a mate is told again only where it had nothing for a while.
+    With 195 hosts each host sends and reads some 86 datagrams a second. Changes that
+    matter are sent at once, so a cell peer gets a hello in the rounds only if it got
+    nothing for CELL_REFRESH_SECONDS.
     """
-    net = Net(3, 60)
-    net.run(12.0)
-    host = next(iter(net.hosts.values()))
-    mates = [peer.identity.address for peer in host.get_peers()][:30]
-    host.set_cell_peers(mates)
-    host.choose_immediate_receivers(100, net.now, is_urgent=True)
-    assert host.choose_brief_receivers((), 100, 9.0, net.now + 1.0) == ()
-    due = net.now + CELL_REFRESH_SECONDS
+    network = FakeNetwork(3, 60)
+    network.run(12.0)
+    host = next(iter(network.hosts.values()))
+    cell_peers = [peer.identity.address for peer in host.get_peers()][:30]
+    host.set_cell_peers(cell_peers)
+    host.choose_immediate_receivers(100, network.now, is_urgent=True)
+    assert host.choose_brief_receivers((), 100, 9.0, network.now + 1.0) == ()
+    due = network.now + CELL_REFRESH_SECONDS
     assert set(host.choose_brief_receivers((), 100, 9.0, due)) == set(
         host.get_cell_peers()
     )
 
 
-def test_the_domain_of_a_host_is_known_by_others_word():
-    """A host that heard few itself must not take its domain for nearly empty."""
-    net = Net(4, 60)
-    net.run(12.0)
-    host = list(net.hosts.values())[-1]
+def test_failure_domain_of_a_peer_is_known_from_other_hosts():
+    """A host that few peers send to must not take its domain for nearly empty."""
+    network = FakeNetwork(4, 60)
+    network.run(12.0)
+    host = list(network.hosts.values())[-1]
     assert all(peer.failure_domain for peer in host.get_peers())
     assert any(not peer.name for peer in host.get_peers())
 
 
-def test_a_host_alone_counts_more_than_itself():
-    """A restarted host behind a cut must not take the whole of what all share."""
-    net = Net(1, 9)
-    net.run(1.0)
-    net.cut([build_address(3)])
-    net.run(10.0)
-    assert net.hosts[build_address(3)].get_max_host_count(net.now) == 9
-    net.start(3)
-    assert net.hosts[build_address(3)].get_max_host_count(net.now) == 9
-    net.run(70.0)
-    assert net.hosts[build_address(3)].get_max_host_count(net.now) == 3
-    net.run(700.0, step=1.0)
-    assert net.hosts[build_address(4)].get_max_host_count(net.now) == 8
-
-
-def test_a_late_hello_is_old_and_of_an_earlier_life_only_for_a_moment():
-    """A paused host wakes to a full socket: what lies there is seconds old."""
-    net = Net(1, 2)
-    net.run(1.0)
-    one, other = net.hosts.values()
-    late = other.build_hello(net.now)
-    one.handle(HelloReceived(late), net.now)
+def test_isolated_host_counts_more_hosts_than_itself():
+    """A host restarted in a partition must not claim all of the shared limits."""
+    network = FakeNetwork(1, 9)
+    network.run(1.0)
+    network.cut([build_address(3)])
+    network.run(10.0)
+    assert network.hosts[build_address(3)].get_max_host_count(network.now) == 9
+    network.start(3)
+    assert network.hosts[build_address(3)].get_max_host_count(network.now) == 9
+    network.run(70.0)
+    assert network.hosts[build_address(3)].get_max_host_count(network.now) == 3
+    network.run(700.0, step=1.0)
+    assert network.hosts[build_address(4)].get_max_host_count(network.now) == 8
+
+
+def test_delayed_hello_has_its_age_and_does_not_refresh_its_sender():
+    """A resumed host reads hellos that its socket buffered seconds before."""
+    network = FakeNetwork(1, 2)
+    network.run(1.0)
+    one, other = network.hosts.values()
+    delayed = other.build_hello(network.now)
+    one.handle(HelloReceived(delayed), network.now)
     peer = one.get_peer(other.own.address)
-    assert one.compute_age(peer, late.timestamp, net.now + 5.0) == pytest.approx(
+    assert one.compute_age(peer, delayed.timestamp, network.now + 5.0) == pytest.approx(
         5.0, abs=0.1
     )
     last_seen_at = peer.last_seen_at
-    one.handle(HelloReceived(late), net.now + 5.0)
+    one.handle(HelloReceived(delayed), network.now + 5.0)
     assert peer.last_seen_at == last_seen_at
 
 
-def test_an_earlier_hello_that_comes_later_changes_nothing():
-    """A host tells that it leaves; a hello that it sent before is overtaken.
+def test_reordered_older_hello_is_ignored():
+    """A hello sent before the sender announced that it leaves arrives after that.
 
-    Taken for news, it would bring the host back among those that take part.
+    If it were applied, the host would count as not leaving again.
     """
-    net = Net(1, 2)
-    net.run(1.0)
-    one, other = net.hosts.values()
-    earlier = other.build_hello(net.now)
+    network = FakeNetwork(1, 2)
+    network.run(1.0)
+    one, other = network.hosts.values()
+    earlier = other.build_hello(network.now)
     other.is_leaving = True
-    one.handle(HelloReceived(other.build_hello(net.now + 0.1)), net.now + 0.2)
-    one.handle(HelloReceived(earlier), net.now + 0.3)
+    one.handle(HelloReceived(other.build_hello(network.now + 0.1)), network.now + 0.2)
+    one.handle(HelloReceived(earlier), network.now + 0.3)
     assert one.get_peer(other.own.address).is_leaving
 
 
-def test_what_lay_in_a_socket_is_old_also_after_its_sender_was_dropped():
-    """A host stands still for long; callers are denied by what it takes for fresh.
+def test_buffered_hello_keeps_its_age_after_its_sender_was_removed():
+    """A host suspended for long refuses callers because of data it takes for current.
 
-    It wakes and drops all that was silent to it, then reads what lay in its socket.
-    The sender is the same life, so its least delay is still known and tells the age.
+    On resuming it removes all peers as silent, then reads the hellos its socket
+    buffered. The minimum delay of the same incarnation is kept and tells their age.
     """
-    net = Net(1, 2)
-    net.run(1.0)
-    one, other = net.hosts.values()
-    late = other.build_hello(net.now)
-    woken = net.now + 10.0
-    one.handle(RoundDue(500), woken)
+    network = FakeNetwork(1, 2)
+    network.run(1.0)
+    one, other = network.hosts.values()
+    delayed = other.build_hello(network.now)
+    resumed_at = network.now + 10.0
+    one.handle(RoundDue(500), resumed_at)
     assert one.get_peer(other.own.address) is None
-    one.handle(HelloReceived(late), woken)
+    one.handle(HelloReceived(delayed), resumed_at)
     peer = one.get_peer(other.own.address)
-    assert one.compute_age(peer, late.timestamp, woken) == pytest.approx(10.0, abs=0.1)
+    assert one.compute_age(peer, delayed.timestamp, resumed_at) == pytest.approx(
+        10.0, abs=0.1
+    )
 
 
-def test_the_first_word_of_a_peer_is_in_doubt_when_it_may_have_lain_in_the_socket():
-    """A host stands still; a peer that it never heard itself tells what it knows.
+def test_first_hello_of_a_peer_after_a_suspension_counts_as_old():
+    """A resumed host reads a buffered hello of a peer that it had no hello from.
 
-    In a large fleet many are known by others' word only, so no delay of theirs is
-    known. What comes when the socket has been read shows the true delay.
+    In a large fleet many peers are known only through others, without a minimum delay.
+    Hellos received after the buffer has been read show the actual delay.
     """
-    net = Net(1, 2)
-    one, other = net.hosts.values()
-    late, fresh = other.build_hello(net.now), other.build_hello(net.now + 3.0)
-    woken = net.now + 2.0
-    one.note_suspended(2.0, woken)
-    one.handle(HelloReceived(late), woken)
+    network = FakeNetwork(1, 2)
+    one, other = network.hosts.values()
+    delayed, fresh = (
+        other.build_hello(network.now),
+        other.build_hello(network.now + 3.0),
+    )
+    resumed_at = network.now + 2.0
+    one.note_suspended(2.0, resumed_at)
+    one.handle(HelloReceived(delayed), resumed_at)
     peer = one.get_peer(other.own.address)
-    assert one.compute_age(peer, late.timestamp, woken) == pytest.approx(2.0)
-    one.handle(HelloReceived(fresh), net.now + 3.0)
-    assert one.compute_age(peer, fresh.timestamp, net.now + 3.0) == pytest.approx(0.0)
+    assert one.compute_age(peer, delayed.timestamp, resumed_at) == pytest.approx(2.0)
+    one.handle(HelloReceived(fresh), network.now + 3.0)
+    assert one.compute_age(peer, fresh.timestamp, network.now + 3.0) == pytest.approx(
+        0.0
+    )
 
 
-def test_an_old_entry_brings_nobody_back():
-    net = Net(1, 2)
-    net.run(1.0)
-    host, other = net.hosts.values()
+def test_expired_entry_does_not_restore_a_peer():
+    network = FakeNetwork(1, 2)
+    network.run(1.0)
+    host, other = network.hosts.values()
     gone = HostIdentity(build_address(50), 1)
     hello = Hello(
         other.own,
         "x",
         "y",
-        int(net.now * 1_000_000) + 5,
+        int(network.now * 1_000_000) + 5,
         1,
         False,
         (PeerEntry(gone, 9.0),),
     )
-    host.handle(HelloReceived(hello), net.now)
+    host.handle(HelloReceived(hello), network.now)
     assert host.get_peer(gone.address) is None
 
 
@@ -311,6 +323,6 @@
         [1, "n", "d", 1, 1, False, [[b"1234", 1, 1, 1]] * 65],
     ],
 )
-def test_a_malformed_hello_is_refused(item):
+def test_malformed_hello_is_refused(item):
     with pytest.raises(FrameError):
         Hello.unpack(build_address(1), item)
--- a/libraries/membership/tests/test_targets.py
+++ b/libraries/membership/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""Tests of what lagging host lists say of targets."""
+"""Tests of the leaving targets in host lists that lag."""
 
 from tarragonward_membership import ListedTarget, TargetList
 
@@ -11,10 +11,10 @@
     ]
 
 
-def test_leaving_holds_while_a_lagging_replica_still_says_live():
-    """Two replicas are read in turn; one has not heard that the target leaves.
+def test_target_stays_leaving_while_a_lagging_replica_lists_it_as_live():
+    """Two replicas are read in turn, and one does not know yet that the target leaves.
 
-    Were the last list believed, every second read would send new work there.
+    If only the last list counted, every second read would send new work there.
     """
     targets = TargetList()
     for step in range(6):
@@ -22,7 +22,7 @@
         assert targets.get_leaving(NAMES, step * 2) == {"engine-1"}
 
 
-def test_a_target_missing_from_one_list_does_not_vanish():
+def test_target_missing_from_one_list_stays_live():
     targets = TargetList()
     targets.apply_list(build_list(engine_1=False, engine_2=False), 0)
     targets.apply_list(build_list(engine_2=False), 2)
@@ -31,7 +31,7 @@
     assert targets.get_leaving(NAMES, 4) == set()
 
 
-def test_a_target_missing_for_long_takes_no_work_until_it_is_listed_again():
+def test_target_missing_from_several_lists_takes_no_work_until_listed_again():
     targets = TargetList()
     targets.apply_list(build_list(engine_1=False, engine_2=False), 0)
     for step in range(1, 6):
@@ -41,7 +41,7 @@
     assert targets.get_leaving(NAMES, 7) == set()
 
 
-def test_a_target_that_is_live_again_takes_work_again():
+def test_target_listed_as_live_again_takes_work_again():
     targets = TargetList()
     targets.apply_list(build_list(engine_1=True), 0)
     targets.apply_list(build_list(engine_1=False), 2)
