--- a/libraries/gateway/tarragonward_gateway/answers.py
+++ b/libraries/gateway/tarragonward_gateway/answers.py
@@ -1,4 +1,4 @@
-"""Write this host's own answers to forwarded requests."""
+"""Send the error answers of this host itself."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 async def async_send_refusal(
     responder: Responder, code: ResultCode, retry_after_seconds: float | None = None
 ) -> None:
-    """Send a numbered error; retry-after may be a fraction of a second."""
+    """Send an error with its result code; retry-after may be a fraction of a second."""
     headers = {"x-result-code": str(code.number)}
     if retry_after_seconds is not None:
         headers["retry-after"] = f"{retry_after_seconds:.3f}"
--- a/libraries/gateway/tarragonward_gateway/context.py
+++ b/libraries/gateway/tarragonward_gateway/context.py
@@ -1,4 +1,4 @@
-"""Hold what the head of a request decided."""
+"""Hold what was decided from the head of a request."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True)
 class ForwardContext:
-    """A request's route, account and limit, or its refusal; times are the loop's."""
+    """The route, account and deadline of a request, or the reason for refusing it.
+
+    Times are on the event loop's clock.
+    """
 
     received_at: float
     refusal: RequestRefusedError | None = None
--- a/libraries/gateway/tarragonward_gateway/forwarder.py
+++ b/libraries/gateway/tarragonward_gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Take a caller's request by its route and key, and see it to its one answer."""
+"""Admit callers' requests by route and key, and forward them."""
 
 from __future__ import annotations
 
@@ -44,9 +44,10 @@
         self.in_flight = 0
 
     def check_head(self, head: HttpHead) -> ForwardContext:
-        """Find route and account; a refusal is kept until the body has been read.
+        """Return the route and account of a request, or the reason for refusing it.
 
-        Answering before the body is read would cost the caller its connection.
+        A refusal is sent only after the body has been read: an earlier answer would
+        cost the caller its connection.
         """
         return self._check(head, asyncio.get_running_loop().time())
 
@@ -72,7 +73,7 @@
             return
         self.in_flight += 1
         try:
-            run = ForwardedRequest(
+            forwarded = ForwardedRequest(
                 self._state,
                 self._chooser,
                 self._reservations,
@@ -80,15 +81,15 @@
                 request,
                 responder,
             )
-            await run.async_run()
+            await forwarded.async_run()
         finally:
             self.in_flight -= 1
 
     async def _async_wait_for_table(self, request: HttpRequest) -> HttpRequest:
-        """Wait for the first table, and check the request by it.
+        """Wait for the first routing table, and check the request against it.
 
-        Where all hosts lose power at once, callers come to hosts that are starting. A
-        refusal takes the last attempt of many of them, and the table is there within
+        After a power loss on all hosts, callers reach hosts that are starting. For many
+        of them a refusal would use up the last attempt, while the table arrives within
         tenths of a second.
         """
         state, received_at = self._state, request.context.received_at
@@ -135,9 +136,9 @@
         if route is None:
             raise self._build_denial(ResultCode.UNKNOWN_ROUTE)
         account = self._authenticate(table, route, head)
-        limit = now + self._get_time_limit(route, head)
+        deadline = now + self._get_time_limit(route, head)
         service = route.choose_service(self._state.random.random())
-        return ForwardContext(now, None, route, account, service, limit, table)
+        return ForwardContext(now, None, route, account, service, deadline, table)
 
     def _authenticate(
         self, table: RoutingTable, route: Route, head: AnyHead
@@ -156,9 +157,9 @@
         return min(limit / MILLISECONDS_PER_SECOND, route.timeout_seconds)
 
     def _build_denial(self, code: ResultCode) -> RequestRefusedError:
-        # A host that has not heard of the newest table takes a new route or key for
-        # unknown. Symptom: a caller is told 404 or 401 for good, and never asks
-        # again. A host that cannot know says so, and the caller comes back.
+        # A host with an outdated table does not know new routes and keys. A 404 or 401
+        # is final to callers, so it is sent only while the table is known to be fresh;
+        # otherwise the caller is told to retry.
         age = read_clock() - self._state.table_confirmed_at
         if age <= c.MAX_FRESH_TABLE_AGE_SECONDS:
             return RequestRefusedError(code)
--- a/libraries/gateway/tarragonward_gateway/headers.py
+++ b/libraries/gateway/tarragonward_gateway/headers.py
@@ -1,4 +1,4 @@
-"""Choose the headers that go on to a target, and those that come back."""
+"""Select the headers that are forwarded to targets and to callers."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 CONNECTION = b"connection"
 CONTENT_LENGTH = b"content-length"
 MAX_DIGITS = 18
-MAX_RATE = 1e9
-# Headers that concern one connection only. Source: RFC 9110, section 7.6.1.
+MAX_RATE_PER_SECOND = 1e9
+# Headers that apply to one connection only (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         CONNECTION,
@@ -34,7 +34,8 @@
 )
 
 
-# A caller that lists these as its connection's own would change what is run.
+# These are forwarded even if the caller's Connection header lists them: without them
+# the target would run a different request.
 NEVER_HOP_BY_HOP = frozenset({b"host", CONTENT_LENGTH})
 
 
@@ -43,7 +44,7 @@
 ) -> RawHeaders:
     """Return a caller's headers for a target, with those that this host sets.
 
-    A caller's own value of what the host sets, or of a stripped name, never goes on.
+    A caller's own values of set_by_host and stripped names are never forwarded.
     """
     removed = {name.encode("ascii") for name in (*set_by_host, *stripped)}
     kept = _remove_hop_by_hop(headers, removed)
@@ -55,23 +56,26 @@
 
 
 def build_answer_headers(headers: RawHeaders, has_body: bool = True) -> RawHeaders:
-    """Return a target's headers for the caller; a body is framed anew."""
+    """Return a target's headers for the caller.
+
+    An answer with a body loses its content length, as the body is framed anew.
+    """
     return tuple(_remove_hop_by_hop(headers, {CONTENT_LENGTH} if has_body else set()))
 
 
 def parse_count(text: str) -> int | None:
-    """Return the number that a header holds, None where it holds none."""
+    """Return a header's value as an integer, None if it is not one."""
     is_count = text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
     return int(text) if is_count else None
 
 
 def parse_rate(text: str | None) -> float | None:
-    """Return the number a second that a header holds, None where it holds none."""
+    """Return a header's value as a rate per second, None if it is not one."""
     try:
         rate = float(text) if text is not None and text.isascii() else -1.0
     except ValueError:
         return None
-    return rate if 0.0 <= rate <= MAX_RATE else None
+    return rate if 0.0 <= rate <= MAX_RATE_PER_SECOND else None
 
 
 def _remove_hop_by_hop(
--- a/libraries/gateway/tarragonward_gateway/heads.py
+++ b/libraries/gateway/tarragonward_gateway/heads.py
@@ -1,4 +1,4 @@
-"""Tell from the head of a target's answer whether it may be this request's."""
+"""Check from an answer's head whether it may be forwarded to the caller."""
 
 from __future__ import annotations
 
@@ -17,47 +17,47 @@
 
 
 class SpoiledAnswerError(ConnectionLostError):
-    """Report an answer that is not the whole answer to this request."""
+    """Report an answer that is incomplete or does not belong to this request."""
 
 
 class AnswerHeadCheck:
-    """What the heads of answers to one request say."""
+    """Checks on the heads of the answers to one request."""
 
     def __init__(self, names: HeaderNames, request_id: str) -> None:
         self._names = names
         self._request_id = request_id
 
     def is_misdirected(self, target: RegisteredTarget, stream: HttpStream) -> bool:
-        """Return whether the target itself refuses as another one than was meant."""
-        # The address of a target that crashed is used by another one, while its own
-        # record stands until it lapses. Symptom: being idle it is chosen first by each
-        # request, refuses all, and their sends are used up. It rests like one that
-        # takes no connection; a helper at fault is named, and is not this target.
+        """Return whether another target than the expected one uses the address."""
+        # A crashed target stays registered until its record expires, and a new one may
+        # already use its address. An idle target is chosen first, so it would refuse
+        # every request and use up their attempts. It is ejected like a target that
+        # accepts no connection. If a helper is at fault instead, the answer names it.
         at_fault = stream.headers.get(self._names.failed_target)
         is_own = at_fault is None or at_fault == str(target.address)
         return stream.status == STATUS_MISDIRECTED and is_own
 
     def is_refusal(self, stream: HttpStream) -> bool:
-        """Return whether the target says that it has not run the request."""
+        """Return whether the target states that it has not run the request."""
         names = self._names
         answered_id = stream.headers.get(names.request_id, self._request_id)
         if answered_id != self._request_id:
-            raise SpoiledAnswerError("the answer is to another request")
+            raise SpoiledAnswerError("answer has the id of another request")
         is_failure = stream.status >= STATUS_CLIENT_ERROR
         return stream.status == STATUS_MISDIRECTED or (
             is_failure and names.not_run in stream.headers
         )
 
     def check(self, stream: HttpStream) -> None:
-        """Raise SpoiledAnswerError where the head can't be the request's answer."""
+        """Raise SpoiledAnswerError if the answer cannot be forwarded."""
         names = self._names
         if names.request_id not in stream.headers:
-            raise SpoiledAnswerError("the answer does not say to which request")
-        # The caller reads these as "not run and never will be". A target that does not
-        # say so itself may have run the request, and the caller would send it again.
+            raise SpoiledAnswerError("answer has no request id")
+        # Callers take these statuses to mean that the request has not run, and send it
+        # again. Without an explicit header from the target it may have run.
         if stream.status in NOT_RUN_STATUSES:
-            raise SpoiledAnswerError("the answer promises what it does not say")
+            raise SpoiledAnswerError("status means not run, but no header confirms it")
         if stream.status < STATUS_CLIENT_ERROR and names.seal not in stream.headers:
-            raise SpoiledAnswerError("the answer has no seal")
+            raise SpoiledAnswerError("answer has no seal")
         if CONTENT_ENCODING in stream.headers:
-            raise SpoiledAnswerError("the body is encoded")
+            raise SpoiledAnswerError("answer body has a content encoding")
--- a/libraries/gateway/tarragonward_gateway/observer.py
+++ b/libraries/gateway/tarragonward_gateway/observer.py
@@ -1,4 +1,4 @@
-"""Keep what was decided for a request, and write it where the request went badly."""
+"""Record the decisions on a request, and log them if it did not go well."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 OUTCOME_BROKEN_OFF = "broken off"
 OUTCOME_CALLER_LEFT = "caller left"
 OUTCOME_FAILED_HERE = "failed here"
-# Whether a first event came before the predicted time, or after it.
+# Whether the first event came before or after the predicted time.
 EARLY = "early"
 LATE = "late"
 
 
 class RequestObserver:
-    """The trail of one request; times are the loop's, in seconds.
+    """The recorded events of one request; times are on the loop's clock, in seconds.
 
-    A request that ends in time after one send leaves counts and no line. All others
-    leave a line for each decision, written together at the end with the time of each.
+    A request that is answered in time by its first target only updates metrics. For all
+    others each decision is logged with its own time; the lines are written at the end.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._predicted_at: float | None = None
         self._last_event_at = 0.0
         self._longest_pause_seconds = 0.0
-        self._readers = 0
+        self._prefill_engines = 0
         self._prefill_ahead_seconds = 0.0
         self._faults: list[str] = []
         self._last_id: int | None = None
@@ -73,15 +73,15 @@
         self,
         target: RegisteredTarget | None,
         predicted_at: float | None = None,
-        readers: int = 0,
+        prefill_engines: int = 0,
         **inputs: Any,
     ) -> None:
-        """Note a choice of target and what it was made on.
+        """Record a choice of target and the inputs to it.
 
-        predicted_at is when the first event should come, on the loop's clock; readers
-        is how many engines read the prompt.
+        predicted_at is the expected time of the first event, on the loop's clock;
+        prefill_engines is how many engines share the prefill of the prompt.
         """
-        self._readers = readers
+        self._prefill_engines = prefill_engines
         if self._first_event_at is None:
             self._predicted_at = predicted_at
         registry = self._state.registry
@@ -99,22 +99,22 @@
         )
 
     def record_failure(self, event: str, **fields: Any) -> None:
-        """Note why the last send brought nothing that may be passed on."""
+        """Record why the last attempt gave no answer that can be forwarded."""
         target = self._target.id if self._target else None
         self._record(event, target=target, **fields)
 
     def record_prefill_ahead(self, seconds: float) -> None:
-        """Note that the target is known to read for so long, beside this request."""
+        """Record how long another request's prefill occupies the target."""
         self._prefill_ahead_seconds = max(self._prefill_ahead_seconds, seconds)
 
     def record_status(self, status: int) -> None:
-        """Note the status of the answer that goes to the caller."""
+        """Record the status of the answer to the caller."""
         self._status = status
 
     def record_decision(
         self, event: ExchangeEvent, effect: ExchangeEffect | None, now: float
     ) -> None:
-        """Note what an event of the exchange led to."""
+        """Record the effect that an event of the exchange had."""
         if isinstance(event, SendFailed):
             self._faults.append(event.fault.value)
         if isinstance(event, EventsGiven):
@@ -135,7 +135,7 @@
             )
 
     def finish(self, error: BaseException | None = None) -> None:
-        """Count the request, and write its trail where it did not go well."""
+        """Update the metrics, and log the events if the request did not go well."""
         now = self._loop.time()
         outcome = self._outcome or OUTCOME_ANSWERED
         if isinstance(error, asyncio.CancelledError):
@@ -146,7 +146,7 @@
         if outcome == OUTCOME_ANSWERED and self._sends == 1 and not self._is_late(now):
             return
         self._record_ended(outcome, now, error)
-        # How it ended is written beyond the budget of ordinary lines: a busy second
+        # The last event is logged even if the log budget is used up: a busy second
         # would otherwise hide the requests that were lost in it.
         if not event_log.log(self._events):
             event_log.log(self._events[-1:], is_urgent=True)
@@ -198,7 +198,7 @@
             pause_aim=self._get_pause_aim(),
             prompt_tokens=self._prompt_tokens or None,
             target=self._target.id if self._target else None,
-            readers=self._readers or None,
+            readers=self._prefill_engines or None,
             held_up=self._prefill_ahead_seconds or None,
             faults=",".join(self._faults) or None,
             unwritten=unwritten or None,
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -1,4 +1,4 @@
-"""Carry out the decisions on one forwarded request."""
+"""Forward one request: perform what its exchange decides."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 class ForwardedRequest:
-    """One request: its sends, one after the other, and its one answer."""
+    """One request, its consecutive attempts, and the single answer to its caller."""
 
     def __init__(
         self,
@@ -118,13 +118,13 @@
         self._mover = StreamMover(
             state, chooser, self._exchange, self._placer.build_need
         )
-        self._repeat_counted_at: float | None = None
+        self._retry_counted_at: float | None = None
         self._idle_timeout: IdleTimeout | None = None
         self._answer: tuple[int, tuple[tuple[bytes, bytes], ...], bytes] | None = None
         state.record_request(context.service)
 
     async def async_run(self) -> None:
-        """See the request to its end, and say what became of it."""
+        """Process the request to its end, and record the outcome."""
         try:
             await self._async_run()
         except BaseException as err:
@@ -152,19 +152,19 @@
     def _handle_event(self, event: ExchangeEvent) -> ExchangeEffect | None:
         now = self._loop.time()
         service, is_started = self._context.service, self._exchange.is_started
-        is_sends_end = isinstance(event, (SendFailed, TargetAnswered))
-        can_retry = is_sends_end and (
+        is_attempt_end = isinstance(event, (SendFailed, TargetAnswered))
+        can_retry = is_attempt_end and (
             self._mover.is_moving
             or self._state.can_retry(service, is_urgent=is_started)
         )
         effect = self._exchange.handle(event, now, has_budget=can_retry)
         if isinstance(effect, SendTo) and effect.is_retry:
-            self._repeat_counted_at = (
+            self._retry_counted_at = (
                 self._mover.retry_at
                 if self._mover.is_moving
                 else self._state.record_repeat(service)
             )
-        if is_sends_end:
+        if is_attempt_end:
             self._mover.is_moving = False
         self._observer.record_decision(event, effect, now)
         return effect
@@ -181,10 +181,10 @@
                 self._responder, effect.code, effect.retry_after_seconds
             )
         elif isinstance(effect, AbortConnection):
-            raise ConnectionAbortedError("the answer ends early")
+            raise ConnectionAbortedError("answer aborted before its end")
 
     def _check_suspect(self) -> ExchangeEffect | None:
-        """Return the end of a request that may crash one more target, else None."""
+        """Return how to end a request that may crash another target, else None."""
         verdict = self._suspects.evaluate(self._identity)
         self._placer.is_suspect = verdict is Verdict.ALONE
         if verdict is Verdict.REFUSED:
@@ -200,14 +200,14 @@
         placed = await self._placer.async_place(effect.to_previous_target)
         if placed is None:
             self._observer.record_choice(None, tried=len(self._placer.tried))
-            self._refund_repeat()
+            self._refund_retry()
             wait = self._chooser.compute_wait(self._placer.build_need())
             return self._handle_event(SendFailed(SendFault.NO_TARGET, wait))
         choice, lease = placed
         target = choice.target
-        readers = len(choice.helpers) + 1 if choice.plan is not None else 0
+        prefill_engines = len(choice.helpers) + 1 if choice.plan is not None else 0
         self._observer.record_choice(
-            target, choice.predicted_at, readers, tried=len(self._placer.tried)
+            target, choice.predicted_at, prefill_engines, tried=len(self._placer.tried)
         )
         self._placer.record_chosen(target)
         try:
@@ -221,7 +221,7 @@
                 event = await self._async_attempt(choice, effect)
         except NotConnectedError as err:
             event = SendFailed(SendFault.NOT_CONNECTED)
-            self._refund_repeat()
+            self._refund_retry()
             self._chooser.cancel_send(target)
             self._log_send_failure(target, event, err)
         except StreamMovedError as err:
@@ -250,19 +250,19 @@
             )
         return self._handle_event(event) if event is not None else None
 
-    def _refund_repeat(self) -> None:
-        """Give the budget back what a repeat that was never sent took of it."""
-        if self._repeat_counted_at is not None:
+    def _refund_retry(self) -> None:
+        """Return a retry that was never sent to the retry budget."""
+        if self._retry_counted_at is not None:
             self._state.budget.refund_retry(
-                self._context.service, self._repeat_counted_at
+                self._context.service, self._retry_counted_at
             )
-            self._repeat_counted_at = None
+            self._retry_counted_at = None
 
     def _record_head_evidence(
         self, target: RegisteredTarget, stream: HttpStream
     ) -> None:
-        # A head alone is no answer: a sick target may spoil what comes after it.
-        # Symptom, were it taken as one: its faults are never two in a row.
+        # A head does not count as an answer: a faulty target may send a good head and
+        # a bad body, and its failures would then never be consecutive.
         evidence = Evidence.CONNECTED
         if self._head_check.is_misdirected(target, stream):
             evidence = Evidence.REPLACED
@@ -317,10 +317,10 @@
         pause = c.SILENCE_PAUSE_FACTOR * self._route.pause_aim_seconds
 
         def may_leave() -> bool:
-            # An engine that pauses may well be at work, and the next one may refuse.
-            # Symptom: a stream that would have ended whole is broken off. Before the
-            # first event the caller has nothing to lose; after it, only the end of
-            # the connection shows that the engine is gone.
+            # After the first event only the end of the connection shows that an engine
+            # is gone. A silent engine may still be working and another one may refuse,
+            # which would abort a stream that would have completed. Before the first
+            # event the caller has nothing to lose.
             if self._exchange.is_started:
                 return False
             now = self._loop.time()
@@ -333,8 +333,8 @@
                     self._context.service, is_urgent=self._exchange.is_started
                 )
             )
-            # Nobody else may be there. Symptom: a request that waits at a busy engine
-            # is left, has nowhere to go, and its caller hears that it may have run.
+            # Without an alternative, a request that waits at a busy engine would be
+            # abandoned with nowhere to go, and its caller told that it may have run.
             need = self._placer.build_need()
             return may_send and self._chooser.find_alternative(need) is not None
 
@@ -377,7 +377,7 @@
         self._chooser.record_load(choice.target, stream.headers.get(names.load))
         limit = stream.headers.get(names.limit)
         is_refusal = self._head_check.is_refusal(stream)
-        # A refusal may leave the limit out, or come from another boot at the address.
+        # A refusal may omit the limit, or come from another boot at the same address.
         if limit is not None or not is_refusal:
             self._chooser.record_limit(choice.target, limit)
         if is_refusal:
@@ -425,16 +425,16 @@
                 if self._idle_timeout is not None:
                     self._idle_timeout.pause()
                 await self._async_forward_events(stream, events)
-                # While the caller does not read, the engine's pace is not seen.
+                # The engine's pace cannot be measured while the caller does not read.
                 choice.waiting_since = self._loop.time()
                 if self._idle_timeout is not None:
                     self._idle_timeout.resume()
         if splitter.has_partial_event:
-            raise SpoiledAnswerError("the stream ended within an event")
+            raise SpoiledAnswerError("event stream ended within an event")
         if not self._exchange.is_started:
-            # Only a stream that the caller had up to its last event may be empty.
+            # A stream may be empty only if the caller already has its last event.
             if self._exchange.last_id is None:
-                raise SpoiledAnswerError("the stream has no event")
+                raise SpoiledAnswerError("event stream ended without an event")
             self._start_answer(stream)
         self._suspects.record_answered(self._identity)
         await self._responder.async_finish()
@@ -465,10 +465,11 @@
                 self._handle_event(EventsGiven(event.event_id))
         if forwarded and not self._exchange.is_started:
             self._start_answer(stream)
-        # What was noted as given goes out before the stream goes on elsewhere after it.
+        # Events recorded as delivered must be sent before another target resumes the
+        # stream after them.
         await self._responder.async_send_chunk(b"".join(forwarded))
         if has_gap:
-            raise SpoiledAnswerError("an event is missing")
+            raise SpoiledAnswerError("event ids have a gap: an event is missing")
 
     def _start_answer(self, stream: HttpStream) -> None:
         self._handle_event(AnswerStarted())
@@ -476,13 +477,13 @@
 
 
 def _is_link_timeout(error: ConnectionLostError) -> bool:
-    """Return whether the connection ended by the silence of its link."""
+    """Return whether the connection was lost because its link went silent."""
     cause = error.__cause__
     return isinstance(cause, OSError) and cause.errno in LINK_TIMEOUT_ERRORS
 
 
 def _parse_token_counts(text: str) -> tuple[int, int] | None:
-    """Return the prompt's and the most output tokens, None where they aren't told."""
+    """Return the prompt tokens and the output limit, None if the header lacks them."""
     first, _, second = text.partition(",")
     prompt, output = parse_count(first), parse_count(second)
     return None if prompt is None or output is None else (prompt, output)
