--- a/libraries/bench/tarragonward_bench/hearing/host.py
+++ b/libraries/bench/tarragonward_bench/hearing/host.py
@@ -31,9 +31,9 @@
     Step,
 )
 from tarragonward_gateway.paged_read import PagedRead
-from tarragonward_gateway.polling import KnownHost, PollingOrder, choose_polling_order
 from tarragonward_gateway.ports import Page, Record, Records
 from tarragonward_gateway.pulls import PullLimit
+from tarragonward_gateway.readers import KnownHost, PollingOrder, choose_polling_order
 from tarragonward_gateway.record_exchange import pack_age, unpack_age
 from tarragonward_gateway.record_store import RecordBatch, RecordStore
 from tarragonward_membership import (
@@ -263,7 +263,7 @@
         self._follow(self._asked)
 
     def _take_page(self, page: Page, asked_at: float) -> SourceAnswered | PageRead:
-        read = self._reading.take(page, asked_at)
+        read = self._reading.add_page(page, asked_at)
         if read is None:
             return PageRead()
         portion = RecordBatch(read.records, read.revision, True)
--- a/libraries/gateway/tarragonward_gateway/cells.py
+++ b/libraries/gateway/tarragonward_gateway/cells.py
@@ -11,7 +11,7 @@
 from . import const as c
 from .clock import read_clock
 from .peers import Peers
-from .polling import KnownHost, PollingOrder, choose_polling_order
+from .readers import KnownHost, PollingOrder, choose_polling_order
 from .state import GatewayState
 
 __all__ = ["CellTracker"]
--- a/libraries/gateway/tarragonward_gateway/following.py
+++ b/libraries/gateway/tarragonward_gateway/following.py
@@ -7,7 +7,7 @@
 from functools import singledispatch
 
 from . import const as c
-from .polling import PollingOrder
+from .readers import PollingOrder
 
 __all__ = [
     "PullFromPeer",
@@ -224,7 +224,7 @@
         return wait + place.standby_rank * c.STANDBY_RANK_STEP_SECONDS - confirmed_age
 
     def _choose_watch_seconds(self, place: PollingOrder) -> float:
-        hosts = place.hosts
+        hosts = place.poller_count
         if place.group:
             wait = min(c.MAX_WATCH_SECONDS, hosts * c.POLLER_WATCH_STAGGER_SECONDS)
             return wait * (place.rank + 1) / hosts if self._was_woken else wait
--- a/libraries/gateway/tarragonward_gateway/idle_timeout.py
+++ b/libraries/gateway/tarragonward_gateway/idle_timeout.py
@@ -1,4 +1,4 @@
-"""Leave a target that is silent for too long, while another may have the request."""
+"""Abandon a target that sends no event in time, if another one can take over."""
 
 from __future__ import annotations
 
@@ -13,22 +13,23 @@
 
 
 class TargetSilentError(Exception):
-    """Report that a target was left because it said nothing."""
+    """Report that a target was abandoned because it sent nothing in time."""
 
 
 class StreamMovedError(Exception):
-    """Report that a target was left for one that is not held up."""
+    """Report that a target was abandoned for one that is expected to be faster."""
 
 
 class IdleTimeout:
-    """The time that a target has until its next event.
-
-    A target behind a cut, or frozen, keeps its connections open. Symptom: the caller
-    waits until it gives up, though others are free. Silence alone ends no answer: it
-    is left only while may_leave() says that another target may go on; else it is
-    asked again later. Time in which the caller does not read is not the target's.
-    Before it counts as silent its first event is overdue: then it is left where
-    gains_elsewhere() says that another target would be in time, and is not to blame.
+    """Limits the time that a target has until its next event.
+
+    A target that is frozen or behind a network partition keeps its connections open,
+    and its caller would wait until it gives up although other targets are free. A
+    silent target is abandoned only if may_abandon() returns that another target can
+    take over; otherwise this is checked again later. Time during which the caller does
+    not read is not counted. Before that limit the first event can be overdue: the
+    target is then abandoned, without a fault being recorded, if is_faster_elsewhere()
+    returns that another target would be in time.
     """
 
     def __init__(
@@ -51,14 +52,14 @@
         self._is_abandoning = False
 
     def abandon(self) -> None:
-        """Leave the target now, or once what came from it has been given on."""
-        # While events are given on, an end would cut one in two.
+        """Abandon the target, after the events received from it have been forwarded."""
+        # Aborting while events are being forwarded would cut one in two.
         self._is_abandoning = True
         if self._timer is not None:
             self._start_timer(0.0)
 
     async def __aenter__(self) -> IdleTimeout:
-        """Begin to wait for the first event."""
+        """Start waiting for the first event."""
         await self._scope.__aenter__()
         self._silent_at = self._loop.time() + self._first_seconds
         self._start_timer(min(self._first_seconds, self._overdue_seconds))
@@ -70,23 +71,23 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Stop to wait; raise an error that says why where the target was left."""
+        """Stop waiting; raise the reason if the target was abandoned."""
         self.pause()
         try:
             await self._scope.__aexit__(kind, error, trace)
         except TimeoutError as err:
             if self._is_abandoning:
-                raise StreamMovedError("held up by a reading") from err
-            raise TargetSilentError("no event in time") from err
+                raise StreamMovedError("another target is expected sooner") from err
+            raise TargetSilentError("no event within the idle timeout") from err
 
     def pause(self) -> None:
-        """Do not count the time from here on."""
+        """Stop counting time until resume()."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def resume(self) -> None:
-        """Wait for the next event."""
+        """Start waiting for the next event."""
         self._silent_at = self._loop.time() + self._pause_seconds
         self._start_timer(0.0 if self._is_abandoning else self._pause_seconds)
 
--- a/libraries/gateway/tarragonward_gateway/moving.py
+++ b/libraries/gateway/tarragonward_gateway/moving.py
@@ -1,4 +1,4 @@
-"""Move a stream off a target that begins to read for long, to one that is free."""
+"""Move a request off a target that is delayed by a long prefill or is overdue."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class StreamMover:
-    """Leaves a request's target where a reading beside it holds the request up.
+    """Decides whether a request abandons its target for a faster one.
 
-    is_moving: the target is being left, and the repeat is counted already; were it
-    counted later, the budget could be used up by then and the stream broken off. It
-    lasts until the send has ended: events that come before that are given on, and a
-    move that they ended would need a second repeat.
+    is_moving: the target is being abandoned and the retry is charged already. If it
+    were charged later, the budget could be exhausted by then and the stream aborted.
+    The flag stays set until the send has ended: events that arrive before that are
+    still forwarded, and a move that they cancelled would need a second retry.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
     def consider_move(
         self, choice: SendChoice, idle_timeout: IdleTimeout, work: EngineUsage
     ) -> None:
-        """Leave the target where another one would go on in time."""
+        """Abandon the target if another one would continue in time."""
         need = self._build_need()
         if not self._may_move(need) or not self._gains_by_moving(choice, need, work):
             return
@@ -51,11 +51,11 @@
         idle_timeout.abandon()
 
     def try_move_overdue(self) -> bool:
-        """Return whether to leave a target whose first event is overdue, and note it.
+        """Start a move of an overdue request if another target would be in time.
 
-        A prompt waits unread behind work that nobody told of, at an engine that has
-        turned slow, or at a dead one. Symptom: it is late, or ends with its caller's
-        patience, though another engine would have read it in time.
+        The prompt may be queued behind work that was not reported, at a slow engine or
+        at a dead one. Without the move it would be late, or end when its caller
+        disconnects, although another engine could have processed it in time.
         """
         need = self._build_need()
         if self._exchange.is_started or not self._may_move(need):
@@ -76,7 +76,7 @@
         self.retry_at = self._state.record_repeat(need.service)
 
     def cancel_move(self) -> None:
-        """Give the repeat back where the answer ended before the target was left."""
+        """Refund the retry if the answer ended before the target was abandoned."""
         if self.is_moving and self.retry_at is not None:
             service = self._build_need().service
             self._state.budget.refund_retry(service, self.retry_at)
--- a/libraries/gateway/tarragonward_gateway/paged_read.py
+++ b/libraries/gateway/tarragonward_gateway/paged_read.py
@@ -1,4 +1,4 @@
-"""Keep a reading of all items by pages, which goes on where a failed call left it."""
+"""Collect the pages of a full read, which resumes after a failed call."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 class PagedRead:
     """The pages read so far; times in seconds.
 
-    The source bounds the calls of all hosts together. Symptom of beginning anew after
-    each refused call: hosts of a large fleet that start at once read first pages for
-    seconds, and few come to their last. So what was read is kept. Pages are no
-    snapshot: the reading counts as of its first page, and the watch from there tells
-    what changed meanwhile; an old reading is begun anew, as the source's history ends.
+    The source limits the call rate of all hosts together. If a refused call restarted
+    the read, hosts of a large fleet that start together would read first pages for
+    seconds and few would reach the last one. So the pages are kept. They are not a
+    snapshot: the read counts as of its first page, and a watch from that revision
+    returns the changes since. An old read is restarted, as the source keeps a limited
+    history.
     """
 
     def __init__(self) -> None:
@@ -25,28 +26,28 @@
         self._begun_at = float("-inf")
 
     def get_after_key(self, now: float) -> str:
-        """Return the key after which the next page begins."""
+        """Return the key after which the next page starts, empty for the first page."""
         if now - self._begun_at > c.MAX_PAGED_READ_AGE_SECONDS:
             self.clear()
         return self._next_after
 
-    def take(self, page: Page, asked_at: float) -> Records | None:
-        """Take the page that was asked for; return all items once it was the last."""
+    def add_page(self, page: Page, asked_at: float) -> Records | None:
+        """Add the requested page; return all items if it was the last one."""
         if not self._next_after:
             self._revision, self._begun_at = page.revision, asked_at
         self._records += page.records
         if page.next_after is not None:
             self._next_after = page.next_after
             return None
-        read = Records(tuple(self._records), self._revision)
+        records = Records(tuple(self._records), self._revision)
         self.clear()
-        return read
+        return records
 
     def compute_age(self, now: float) -> float:
-        """Return how old what was read may be, from its first page on."""
+        """Return the age of the read, counted from its first page."""
         return now - self._begun_at
 
     def clear(self) -> None:
-        """Begin anew."""
+        """Discard the pages read so far."""
         self._records = []
         self._next_after = ""
--- a/libraries/gateway/tarragonward_gateway/probes.py
+++ b/libraries/gateway/tarragonward_gateway/probes.py
@@ -1,4 +1,4 @@
-"""Connect to targets that are in doubt, and tell the decisions what was seen."""
+"""Probe ejected targets by connecting, and report evidence to the health tracker."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
 
     def __init__(self, state: GatewayState, target_health: TargetHealthTracker) -> None:
         self._state = state
-        self._reach = target_health
+        self._target_health = target_health
         self._probing: set[asyncio.Task[bool]] = set()
-        # By target: the connection that shows whether it has ended.
+        # By target: the connection attempt that shows whether it has ended.
         self._end_checks: dict[str, asyncio.Task[bool]] = {}
         self._background = BackgroundTasks(state.metrics)
 
     async def async_setup(self) -> None:
-        """Begin to try what is in doubt."""
-        # Were the loop to end by a fault, what is in doubt would stay out for good.
+        """Start probing ejected targets."""
+        # Restarted after an error, as ejected targets would otherwise never return.
         self._background.start(TASK_NAME, self._async_probe_due)
 
     async def async_unload(self) -> None:
-        """Stop to try."""
+        """Stop probing."""
         await self._background.async_unload()
         probing = [*self._probing, *self._end_checks.values()]
         for task in probing:
@@ -58,8 +58,8 @@
         await asyncio.gather(*probing, return_exceptions=True)
 
     def record(self, target: RegisteredTarget, evidence: Evidence) -> None:
-        """Take in what was seen of a target, and log what changes by it."""
-        for effect in self._reach.observe(target, evidence, read_clock()):
+        """Record evidence on a target's health and log the changes that follow."""
+        for effect in self._target_health.observe(target, evidence, read_clock()):
             if isinstance(effect, TargetEjected):
                 log_event(
                     "target_doubted",
@@ -75,7 +75,7 @@
                 log_event("domain_regained", domain=effect.domain)
 
     def record_failure(self, target: RegisteredTarget, fault: SendFault) -> None:
-        """Note a send that brought nothing."""
+        """Record a failed send as evidence."""
         evidence = EVIDENCE.get(fault)
         if evidence is not None:
             self.record(target, evidence)
@@ -83,9 +83,9 @@
     def record_reported_fault(
         self, helpers: Sequence[RegisteredTarget], name: str
     ) -> bool:
-        """Note that a refusal names a target as at fault, by its address or its name.
+        """Record the helper that a refusal reports at fault, by its address or name.
 
-        Return whether it is one of the helpers.
+        Return whether the name belongs to one of the helpers.
         """
         named = [h for h in helpers if name in (str(h.address), h.name)]
         for helper in named:
@@ -93,38 +93,40 @@
         return bool(named)
 
     async def async_check(self, targets: Sequence[RegisteredTarget]) -> bool:
-        """Return whether all targets can be reached; those that can't are doubted.
+        """Return whether all targets accept connections; record those that do not.
 
-        A leader whose helper is gone finds out after the stall that the platform
-        allows, and the send is spent. A connection to each helper that has not
-        answered lately finds out before.
+        A leader notices a missing helper only after the stall time that the platform
+        allows, which wastes the send. Connecting first to each helper without a recent
+        answer avoids this.
         """
-        unsure = self._reach.get_unverified(targets, read_clock())
-        reached = await asyncio.gather(*(self._async_probe(each) for each in unsure))
-        for target, is_reached in zip(unsure, reached, strict=True):
+        unverified = self._target_health.get_unverified(targets, read_clock())
+        reached = await asyncio.gather(
+            *(self._async_probe(each) for each in unverified)
+        )
+        for target, is_reached in zip(unverified, reached, strict=True):
             if not is_reached:
                 self.record(target, Evidence.NOT_CONNECTED)
         return all(reached)
 
     def check_in_background(self, target: RegisteredTarget) -> None:
-        """Connect to a target that may be out of reach, while others are served."""
+        """Check a target that may be unreachable without waiting for the result."""
         task = asyncio.create_task(self.async_check([target]))
         self._probing.add(task)
         task.add_done_callback(self._probing.discard)
 
     async def async_has_ended(self, target: RegisteredTarget) -> bool:
-        """Return whether a target that closed a connection takes no other.
+        """Return whether a target that lost a connection refuses a new one.
 
-        All requests that it lost at once share one connection.
+        Requests that lost their connections at the same time share one attempt.
         """
         task = self._end_checks.get(target.id)
         if task is None:
-            task = asyncio.create_task(self._async_note_ended(target))
+            task = asyncio.create_task(self._async_check_ended(target))
             self._end_checks[target.id] = task
             task.add_done_callback(lambda _: self._end_checks.pop(target.id, None))
         return await asyncio.shield(task)
 
-    async def _async_note_ended(self, target: RegisteredTarget) -> bool:
+    async def _async_check_ended(self, target: RegisteredTarget) -> bool:
         if await self._async_probe(target):
             return False
         self.record(target, Evidence.ENDED)
@@ -134,16 +136,16 @@
         while True:
             await asyncio.sleep(c.TARGET_PROBE_INTERVAL_SECONDS)
             registered = self._state.registry.get_all()
-            self._reach.retain_only(registered)
-            for target in self._reach.take_due_probes(registered, read_clock()):
+            self._target_health.retain_only(registered)
+            for target in self._target_health.take_due_probes(registered, read_clock()):
                 task = asyncio.create_task(self._async_probe(target))
                 self._probing.add(task)
                 task.add_done_callback(self._probing.discard)
 
     async def _async_probe(self, target: RegisteredTarget) -> bool:
-        # A probe that fails says nothing new of a target that is in doubt already.
-        # Symptom, were it counted: two dead targets of a failure domain, each tried
-        # once a second, put the whole domain in doubt for good.
+        # A failed probe is no new evidence on an ejected target. If it counted, two
+        # dead targets of a failure domain that are probed once a second would keep the
+        # whole domain ejected for good.
         is_reached = await _async_connect(target.address)
         if is_reached:
             self.record(target, Evidence.CONNECTED)
@@ -151,7 +153,7 @@
 
 
 async def _async_connect(address: Address) -> bool:
-    """Return whether a connection can be made; nothing is asked on it."""
+    """Return whether the address accepts a connection; no request is sent."""
     try:
         async with asyncio.timeout(c.CONNECT_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(address.host, address.port)
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -35,9 +35,9 @@
 )
 from .paged_read import PagedRead
 from .peers import Peers
-from .polling import PollingOrder
 from .ports import HistoryLostError, Record, RecordParser, RecordReader, SourceError
 from .pulls import PullLimit
+from .readers import PollingOrder
 from .record_exchange import RecordHandler, async_pull_records, pack_age, unpack_age
 from .record_store import RecordBatch, RecordStore
 from .state import GatewayState
@@ -195,7 +195,7 @@
         asked_at = read_clock()
         after = self._reading.get_after_key(asked_at)
         page = await self._reader.async_read_page(after, c.READ_SILENCE_TIMEOUT_SECONDS)
-        read = self._reading.take(page, asked_at)
+        read = self._reading.add_page(page, asked_at)
         if read is None:
             return PageRead()
         log_event("records_read", count=len(read.records), revision=read.revision)
--- a/libraries/gateway/tarragonward_gateway/reservations.py
+++ b/libraries/gateway/tarragonward_gateway/reservations.py
@@ -1,4 +1,4 @@
-"""Hold the memory of a prompt beyond one engine: all of it or none, and freed after."""
+"""Reserve memory for a prompt on several engines, all or none, and release it."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 
 
 class Lease:
-    """The reservations of one send, renewed until released; each host's own."""
+    """The reservations of one send, which this host renews until it releases them."""
 
     def __init__(self, owner: ReservationTask, parts: Sequence[Reservation]) -> None:
         self._owner = owner
         self._parts = parts
-        self._renewing = asyncio.create_task(owner.async_renew(parts))
+        self._renew_task = asyncio.create_task(owner.async_renew(parts))
 
     def release(self) -> None:
-        """Stop to renew, and free the memory even where the request was cancelled."""
-        self._renewing.cancel()
+        """Stop renewing and release the memory, even if the request was cancelled."""
+        self._renew_task.cancel()
         for part in self._parts:
             self._owner.release(part)
 
 
 class ReservationTask:
-    """Reserve groups of parts, in the order of the engines, and release them.
+    """Reserves the parts of a group in the order of their engines, and releases them.
 
-    An id names the host, its incarnation and the send, so no two requests ever use
-    one ticket, and what a dead host left can be told from what is in use.
+    A ticket contains the host, its incarnation and the number of the send. So no two
+    requests share one, and reservations of a dead host can be told from active ones.
     """
 
     def __init__(self, state: GatewayState, calls: ReservationClient) -> None:
@@ -52,58 +52,58 @@
         self._calls = calls
         self._incarnation = new_incarnation()
         self._count = 0
-        self._releasing: set[asyncio.Task[None]] = set()
+        self._release_tasks: set[asyncio.Task[None]] = set()
 
     async def async_setup(self) -> None:
-        """Do nothing: reservations are made as they are needed."""
+        """Do nothing, as reservations are made on demand."""
 
     async def async_unload(self) -> None:
-        """Wait until all that was held is released."""
-        if self._releasing:
+        """Wait until all reservations are released."""
+        if self._release_tasks:
             await asyncio.wait(
-                self._releasing, timeout=c.RESERVATION_CALL_TIMEOUT_SECONDS
+                self._release_tasks, timeout=c.RESERVATION_CALL_TIMEOUT_SECONDS
             )
 
     async def async_reserve(self, choice: SendChoice) -> Lease | str:
-        """Return the lease of all parts, or the id of the target that refused."""
+        """Reserve all parts; return their lease or the refusing target's id."""
         parts = {part.target.id: part for part in self._build_parts(choice)}
         group = GroupReservation(
             [GroupMember(name, part.tokens) for name, part in parts.items()]
         )
-        asked: list[str] = []
-        is_whole = False
+        requested: list[str] = []
+        is_complete = False
         try:
             effects = group.start()
             while effects and isinstance(effects[0], ReservePart):
                 engine = effects[0].member.engine
-                asked.append(engine)
+                requested.append(engine)
                 effects = await self._async_reserve_part(group, parts[engine])
-            is_whole = bool(effects) and isinstance(effects[0], GroupReady)
-            self._check_released(effects, asked)
+            is_complete = bool(effects) and isinstance(effects[0], GroupReady)
+            self._check_released(effects, requested)
         finally:
-            if not is_whole:
-                for engine in asked:
+            if not is_complete:
+                for engine in requested:
                     self.release(parts[engine])
-        return Lease(self, tuple(parts.values())) if is_whole else asked[-1]
+        return Lease(self, tuple(parts.values())) if is_complete else requested[-1]
 
     async def async_renew(self, parts: Sequence[Reservation]) -> None:
         """Renew reservations until cancelled."""
-        # A ticket that expires cuts its request off. One renewal may be lost and the
-        # next one still comes in time.
+        # The request of an expired ticket is aborted. The interval is short enough for
+        # the next renewal to arrive in time when one is lost.
         while True:
             await asyncio.sleep(self._hold_seconds * c.RENEWAL_INTERVAL_SHARE)
             for part in parts:
-                # A boot that followed the one which holds this would set the memory
-                # aside anew, for a request that it does not have.
+                # A restarted target would reserve the memory again, for a request that
+                # it does not have.
                 if not self._state.registry.is_current_boot(part.target):
                     continue
                 try:
-                    await self._async_hold(part)
+                    await self._async_reserve_or_renew(part)
                 except TargetError as err:
                     log_event("renewal_failed", reservation=part.id, error=str(err))
 
-    async def _async_hold(self, part: Reservation) -> bool:
-        """Hold or renew a part; return whether the boot it is meant for holds it."""
+    async def _async_reserve_or_renew(self, part: Reservation) -> bool:
+        """Reserve or renew a part; return whether the intended incarnation holds it."""
         answer = await self._calls.async_reserve(
             part, c.RESERVATION_CALL_TIMEOUT_SECONDS
         )
@@ -111,22 +111,22 @@
             answer.incarnation != part.target.incarnation
         )
         if is_other:
-            # The target started again, and the registry has not told so yet. Symptom:
-            # memory is set aside there that no request will ever use.
+            # The target restarted and the registry does not show it yet. Without the
+            # release it would hold memory that no request will ever use.
             log_event("reservation_elsewhere", reservation=part.id)
             self.release(part)
         return answer.is_held and not is_other
 
     def release(self, part: Reservation) -> None:
-        """Free a part in a task of its own, which no cancelled request ends."""
+        """Release a part in a separate task, which outlives a cancelled request."""
         task = asyncio.create_task(self._async_release(part))
-        self._releasing.add(task)
-        task.add_done_callback(self._releasing.discard)
+        self._release_tasks.add(task)
+        task.add_done_callback(self._release_tasks.discard)
 
     @property
     def _hold_seconds(self) -> float:
         bounds = self._state.settings.bounds
-        # What a dead or frozen host left must be free again within the bound.
+        # Reservations of a dead or frozen host must expire within free_seconds.
         return min(
             bounds.reservation_seconds, bounds.free_seconds * c.RESERVATION_TTL_SHARE
         )
@@ -146,7 +146,7 @@
         self, group: GroupReservation, part: Reservation
     ) -> list[GroupEffect]:
         try:
-            is_held = await self._async_hold(part)
+            is_held = await self._async_reserve_or_renew(part)
         except TargetError as err:
             log_event("reservation_failed", reservation=part.id, error=str(err))
             is_held = False
@@ -155,9 +155,9 @@
             return group.handle(ReservationGranted(engine))
         return group.handle(ReservationRefused(engine))
 
-    def _check_released(self, effects: list[GroupEffect], asked: list[str]) -> None:
+    def _check_released(self, effects: list[GroupEffect], requested: list[str]) -> None:
         released = {each.engine for each in effects if isinstance(each, ReleasePart)}
-        assert not released or released == set(asked)
+        assert not released or released == set(requested)
 
     async def _async_release(self, part: Reservation) -> None:
         end = asyncio.get_running_loop().time() + part.hold_seconds
--- a/libraries/gateway/tests/test_following.py
+++ b/libraries/gateway/tests/test_following.py
@@ -22,7 +22,7 @@
     SourceFailed,
     Watch,
 )
-from tarragonward_gateway.polling import PollingOrder
+from tarragonward_gateway.readers import PollingOrder
 from tarragonward_gateway.record_exchange import pack_age, unpack_age
 
 HOSTS = 9
--- a/libraries/gateway/tests/test_no_end.py
+++ b/libraries/gateway/tests/test_no_end.py
@@ -9,8 +9,8 @@
 from tarragonward_core import Address, background
 from tarragonward_gateway import HeaderNames, Paths
 from tarragonward_gateway.peers import Peers
-from tarragonward_gateway.polling import PollingOrder
 from tarragonward_gateway.publications import PublicationTask
+from tarragonward_gateway.readers import PollingOrder
 from tarragonward_gateway.settings import Bounds, GatewaySettings
 from tarragonward_gateway.state import GatewayState
 from tarragonward_placement import Evidence
--- a/libraries/gateway/tests/test_paged_read.py
+++ b/libraries/gateway/tests/test_paged_read.py
@@ -12,9 +12,9 @@
 def test_reading_counts_as_of_its_first_page():
     reading = PagedRead()
     assert reading.get_after_key(1.0) == ""
-    assert reading.take(make_page("a", 5, "a"), 1.0) is None
+    assert reading.add_page(make_page("a", 5, "a"), 1.0) is None
     assert reading.get_after_key(1.5) == "a"
-    read = reading.take(make_page("b", 9), 1.5)
+    read = reading.add_page(make_page("b", 9), 1.5)
     assert [record.key for record in read.records] == ["a", "b"]
     assert read.revision == 5
     assert reading.compute_age(2.0) == 1.0
@@ -27,7 +27,7 @@
     the second, not the first: else few hosts ever come to the last.
     """
     reading = PagedRead()
-    reading.take(make_page("a", 5, "a"), 1.0)
+    reading.add_page(make_page("a", 5, "a"), 1.0)
     assert reading.get_after_key(1.0 + c.MAX_PAGED_READ_AGE_SECONDS) == "a"
 
 
@@ -38,10 +38,10 @@
     worth nothing; nor are they after the source said that its history is gone.
     """
     reading = PagedRead()
-    reading.take(make_page("a", 5, "a"), 1.0)
+    reading.add_page(make_page("a", 5, "a"), 1.0)
     assert reading.get_after_key(1.1 + c.MAX_PAGED_READ_AGE_SECONDS) == ""
-    read = reading.take(make_page("b", 7), 20.0)
+    read = reading.add_page(make_page("b", 7), 20.0)
     assert [record.key for record in read.records] == ["b"]
-    reading.take(make_page("a", 8, "a"), 21.0)
+    reading.add_page(make_page("a", 8, "a"), 21.0)
     reading.clear()
     assert reading.get_after_key(21.0) == ""
--- a/libraries/gateway/tests/test_polling.py
+++ b/libraries/gateway/tests/test_readers.py
@@ -16,7 +16,7 @@
     SourceFailed,
     Watch,
 )
-from tarragonward_gateway.polling import KnownHost, PollingOrder, choose_polling_order
+from tarragonward_gateway.readers import KnownHost, PollingOrder, choose_polling_order
 from tarragonward_placement import LocatedMember
 from tarragonward_placement.const import MAX_SINGLE_CELL_HOSTS
 
@@ -55,7 +55,7 @@
     places = choose_all(build_hosts(75))
     readers = [place for place in places.values() if place.standby_rank is None]
     groups = {place.group for place in places.values()}
-    assert len(readers) == c.POLLERS_PER_GROUP * len(groups) == readers[0].hosts
+    assert len(readers) == c.POLLERS_PER_GROUP * len(groups) == readers[0].poller_count
     assert {place.rank for place in readers} == set(range(len(readers)))
     assert all(name in place.group for name, place in places.items())
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -58,7 +58,7 @@
     reading, read = PagedRead(), None
     while read is None:
         page = await reader.async_read_page(reading.get_after_key(0.0), 1.0)
-        read = reading.take(page, 0.0)
+        read = reading.add_page(page, 0.0)
     assert [record.key for record in read.records] == ["a", "b"]
     assert read.revision == 9
     assert [query.get("after") for _, query in asked] == [None, "a"]
