--- a/libraries/placement/tarragonward_placement/messages.py
+++ b/libraries/placement/tarragonward_placement/messages.py
@@ -1,4 +1,4 @@
-"""Define what placement is asked and what it answers."""
+"""Define the input and output types of placement."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True)
 class PlacementRequest:
-    """A prompt that wants an engine; sizes in tokens, times in seconds.
+    """A prompt to be placed on an engine; sizes in tokens, times in seconds.
 
-    prefix_hashes are those of the prompt's leading blocks, the shortest first. The
-    lower priority number goes first among the requests of one account.
+    prefix_hashes identify the leading blocks of the prompt, the shortest prefix first.
+    Among the requests of one account, lower priority numbers go first.
     """
 
     request_id: str
@@ -38,21 +38,22 @@
 
     @property
     def kv_tokens(self) -> int:
-        """Return the KV memory that the prompt and its answer need."""
+        """Return the KV cache tokens that the prompt and its answer need."""
         return self.prompt_tokens + self.max_tokens
 
     @property
     def is_long(self) -> bool:
-        """Return whether the prompt belongs to the long lane."""
+        """Return whether the prompt is limited to the pool for long prompts."""
         return self.prompt_tokens > c.LONG_PROMPT_TOKENS
 
 
 @dataclass(frozen=True)
 class EngineView:
-    """What one host knows of one engine: its last report and the report's age.
+    """A host's view of one engine: the engine's last report and the report's age.
 
-    The host's own work there, begun since the report, is added by placement itself.
-    queued_long_tokens is the part of queued_prefill_tokens that long prompts make.
+    Placement itself adds the work that this host has sent since the report.
+    queued_long_tokens is the share of queued_prefill_tokens that belongs to long
+    prompts.
     """
 
     name: str
@@ -68,12 +69,12 @@
 
 @dataclass(frozen=True)
 class FleetView:
-    """What a host knows of the others; all of it a hint.
+    """A host's view of the other hosts; it is a hint and may be out of date.
 
-    other_demand is the other hosts' tokens per second by client account; None where
-    the host hears of no other, so that only an even split is left.
-    published_kv_tokens are the memories of all the model's engines, also of those that
-    are excluded or leaving; empty where placement is shown all of them.
+    other_demand is the other hosts' demand in tokens per second by client account; it
+    is None if no other host is heard, which leaves only an even split.
+    published_kv_tokens are the memory sizes of all engines of the model, including
+    those that are excluded or leaving; it is empty if placement is given all engines.
     """
 
     live_hosts: int = 1
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True)
 class PlacementPolicy:
-    """Which parts of the policy are in use; the measurement switches them off."""
+    """Which parts of the placement policy are enabled; measurements disable some."""
 
     uses_prediction: bool = True
     uses_sampling: bool = True
@@ -97,9 +98,10 @@
 
 @dataclass(frozen=True)
 class Placed:
-    """Run on these engines; more than one where one can't hold the prompt.
+    """The engines that run a prompt; several if one cannot hold it.
 
-    The first engine leads: it computes. parts are the KV tokens on each of a group.
+    The first engine is the leader, which computes. parts are the KV cache tokens on
+    each engine of a group.
     """
 
     engines: tuple[str, ...]
@@ -111,7 +113,7 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """Do not run: why, and when to come back."""
+    """A rejected prompt: the reason, and when the client may retry."""
 
     code: ResultCode
     retry_after_seconds: float
--- a/libraries/placement/tarragonward_placement/reach.py
+++ b/libraries/placement/tarragonward_placement/reach.py
@@ -1,4 +1,4 @@
-"""Decide which targets are in doubt, and which of them are to be connected to."""
+"""Track the health of targets: eject those at fault, and select which to probe."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class Evidence(Enum):
-    """What a connection or a send has shown of a target."""
+    """What a connection attempt or a send has shown about a target."""
 
     CONNECTED = "connected"
     ANSWERED = "answered"
     NOT_CONNECTED = "not connected"
-    # It closed a connection and takes no other: its link is well.
+    # The target closed a connection and accepts no new one; the link itself works.
     ENDED = "ended"
     REPLACED = "replaced"
     REPORTED_AT_FAULT = "named at fault"
@@ -38,21 +38,22 @@
     FAILED = "failed itself"
 
 
-# Faults that may be one request's alone count only some in a row.
+# The request may have caused these, so a target is ejected only after several in a row.
 CONSECUTIVE_FAULTS = frozenset({Evidence.LOST, Evidence.SPOILED, Evidence.FAILED})
-# What one request has to try: a connection proves nothing of it.
-# A target that leaves takes connections and refuses to help others.
+# A successful connection does not disprove these, so a request has to try the target.
+# For example, a target that is leaving still accepts connections but refuses to help
+# others.
 NEEDS_REQUEST_TRIAL = frozenset(
     {Evidence.REPLACED, Evidence.FAILED, Evidence.REPORTED_AT_FAULT}
 )
 
 
 class TargetLocation(Protocol):
-    """What has a target's id and place."""
+    """A target's id and failure domain."""
 
     @property
     def id(self) -> str:
-        """Return the id."""
+        """Return the target's id."""
 
     @property
     def failure_domain(self) -> str:
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True)
 class TargetEjected:
-    """A target that was in order is not chosen from now on."""
+    """A healthy target was ejected: it is not selected from now on."""
 
     target_id: str
     evidence: Evidence
@@ -72,21 +73,21 @@
 
 @dataclass(frozen=True)
 class TargetRestored:
-    """A target may be chosen again."""
+    """An ejected target may be selected again."""
 
     target_id: str
 
 
 @dataclass(frozen=True)
 class DomainEjected:
-    """No target of a failure domain is chosen from now on: its link seems cut."""
+    """A failure domain was ejected: the link to its targets appears to be down."""
 
     domain: str
 
 
 @dataclass(frozen=True)
 class DomainRestored:
-    """The link to a failure domain stands."""
+    """The link to a failure domain works again."""
 
     domain: str
 
@@ -96,13 +97,13 @@
 
 @dataclass
 class _HealthRecord:
-    """What is held against a target or a domain; until is None where it may be used."""
+    """Faults and back-off of a target or a domain; retry_at is None unless ejected."""
 
     retry_at: float | None = None
     ejections: int = 0
     failures: int = 0
     needs_request_trial: bool = False
-    # Of a domain: when its targets were last connected to on its behalf.
+    # For a domain: when each of its targets was last probed.
     probed_at: dict[str, float] = field(default_factory=dict)
 
     def back_off(self, now: float) -> None:
@@ -121,41 +122,45 @@
 
 
 class TargetHealthTracker:
-    """The targets and failure domains that this host leaves out; times in seconds.
-
-    A link that is cut, or an engine that is dead, leaves its targets registered and
-    idle, so the least busy of all. Symptom: every request waits for a connection that
-    never comes, or uses up its sends on targets out of reach, while others have room.
-    One failure to connect, one refusal as another boot or one silence leaves a target
-    out, other faults some in a row. Two that can't be connected to, and no answer of
-    their failure domain between, are its link: the domain is left out. What is left out
-    is taken back by a connection without a request, so that no caller has to try; what
-    answers with errors of its own, or as another boot, takes connections, so there one
-    request tries. Where all are in doubt the least doubted are used: nothing is refused
-    for a guess.
+    """The targets and failure domains that this host has ejected; times in seconds.
+
+    Behind a cut link, or on a dead engine, targets stay registered and idle, so load
+    balancing would prefer them: every request would wait for a connection that never
+    comes, or use up its sends, while other targets have capacity.
+
+    A target is ejected after one failed connection, one refusal because it has
+    restarted, or one timeout; after other faults only if there are several in a row. If
+    two targets of a failure domain cannot be connected to, and none answers in between,
+    the whole domain is ejected.
+
+    Ejected targets are restored by a connection without a request, so that no caller
+    has to take the risk. A target that answers with errors, or as another incarnation,
+    does accept connections, so there a single request is used as a trial. If all
+    targets are ejected, the least suspect ones are used: no request is refused because
+    of a guess.
     """
 
     def __init__(self) -> None:
         self._targets: dict[str, _HealthRecord] = {}
         self._domains: dict[str, _HealthRecord] = {}
-        # By failure domain: its targets that failed to connect, and when.
+        # Connection failures: failure domain -> target -> time.
         self._connect_failures: dict[str, dict[str, float]] = {}
         self._connected_at: dict[str, float] = {}
 
     @property
     def ejected_count(self) -> int:
-        """Return how many targets are left out by themselves."""
+        """Return the number of ejected targets, without those of ejected domains."""
         return sum(record.retry_at is not None for record in self._targets.values())
 
     @property
     def ejected_domain_count(self) -> int:
-        """Return how many failure domains are left out."""
+        """Return the number of ejected failure domains."""
         return len(self._domains)
 
     def observe(
         self, target: TargetLocation, evidence: Evidence, now: float
     ) -> tuple[HealthEffect, ...]:
-        """Take in what was seen of a target; return what changes by it."""
+        """Record what was observed of a target; return the resulting changes."""
         if evidence is Evidence.ANSWERED:
             return self._restore(target, now, has_answered=True)
         if evidence is Evidence.CONNECTED:
@@ -171,7 +176,7 @@
         return effects + self._record_fault(target, evidence, now)
 
     def start_trial(self, target: TargetLocation, now: float) -> None:
-        """Let a target that one request tries again rest for the others meanwhile."""
+        """Keep other requests off an ejected target while one request tries it."""
         record = self._targets.get(target.id)
         if (
             record is not None
@@ -181,7 +186,7 @@
             record.retry_at = max(record.retry_at, now + c.REQUEST_TRIAL_SECONDS)
 
     def select(self, targets: Sequence[Target], now: float) -> Sequence[Target]:
-        """Return the least doubted of the targets: none only where none was given."""
+        """Return the targets with the best health; empty only if none was given."""
         if not self._targets and not self._domains:
             return targets
         levels: tuple[list[Target], list[Target], list[Target]] = ([], [], [])
@@ -192,13 +197,13 @@
         return selected
 
     def is_ejected(self, target: TargetLocation) -> bool:
-        """Return whether a target or its domain is left out, or due to be tried."""
+        """Return whether a target or its domain is ejected, or due for a trial."""
         record = self._targets.get(target.id)
         is_target_ejected = record is not None and record.retry_at is not None
         return is_target_ejected or target.failure_domain in self._domains
 
     def get_unverified(self, targets: Sequence[Target], now: float) -> list[Target]:
-        """Return those that were not connected to lately."""
+        """Return the targets that were not connected to recently."""
         stale_before = now - c.CONNECTION_FRESH_SECONDS
         return [
             target
@@ -207,11 +212,11 @@
         ]
 
     def take_due_probes(self, registered: Sequence[Target], now: float) -> list[Target]:
-        """Return what is to be connected to now, without a request.
+        """Return the targets to connect to now, and schedule their next probe.
 
-        It is not returned again at once. For a failure domain its targets are tried
-        in turn, a few at a time, so that one that lives is found among many dead ones;
-        meanwhile those that put it in doubt are not tried by themselves.
+        In an ejected failure domain a few targets at a time are probed in turn, so that
+        a live one is found among many dead ones. Ejected targets in such a domain are
+        not probed for themselves meanwhile.
         """
         due: list[Target] = []
         for domain, record in self._domains.items():
@@ -243,7 +248,7 @@
         return selected
 
     def retain_only(self, registered: Collection[TargetLocation]) -> None:
-        """Forget what is registered no more, so that memory is bounded."""
+        """Forget what is no longer registered, so that memory stays bounded."""
         ids = {target.id for target in registered}
         domains = {target.failure_domain for target in registered}
         _retain_keys(self._targets, ids)
@@ -293,9 +298,10 @@
     def _restore(
         self, target: TargetLocation, now: float, has_answered: bool
     ) -> tuple[HealthEffect, ...]:
-        """Take a target back; strikes stay until it answers.
+        """Restore a target; its ejection count is reset only by an answer.
 
-        One that takes connections but fails its work is left out for longer each time.
+        A target that accepts connections but fails its requests is thus ejected for
+        longer each time.
         """
         self._connected_at[target.id] = now
         effects = self._restore_domain(target.failure_domain)
@@ -315,7 +321,7 @@
         return () if record is None else (DomainRestored(domain),)
 
     def _get_health_level(self, target: TargetLocation, now: float) -> int:
-        """Return 0 for no doubt, 1 for the domain's alone, 2 for the target's own."""
+        """Return 0 if healthy, 1 if only the domain is ejected, 2 if the target is."""
         record = self._targets.get(target.id)
         if record is not None and record.is_blocked(now):
             return 2
