--- a/libraries/requests/tarragonward_requests/lifecycle.py
+++ b/libraries/requests/tarragonward_requests/lifecycle.py
@@ -50,7 +50,7 @@
         self._budget = budget
         self._attempt = 0
         self._attempts_without_progress = 0
-        # The engines that ended under the request since it last got on.
+        # Engines that crashed under the request since it last made progress.
         self._crashed_engines = 0
         self._is_resumed = False
         self._may_have_run = False
@@ -68,17 +68,17 @@
         """Return the effects of an event at the time now."""
         if self.has_ended:
             return []
-        # A process that was paused wakes with events that came long ago. Symptom: it
-        # gives out text, or starts an attempt, for a caller that has long given up.
-        # The check is enough here because no await stands between it and the effects.
+        # After a process pause, events may be processed long after they occurred. Past
+        # the deadline no text is delivered and no attempt started, as the caller has
+        # given up. No await separates this check from the effects.
         if now >= self.deadline and not isinstance(event, CallerDisconnected):
             return self._end(ResultCode.DEADLINE_EXCEEDED)
         return _handle(event, self, now)
 
     def _recover(self, fault: AttemptFault, now: float) -> list[Effect]:
-        # The end of the stream can be lost after its last token. Symptom: another
-        # engine is asked for no tokens, and gives one too many. All that was asked
-        # for has been given, so the answer is whole.
+        # The connection can be lost between the last token and the end of the stream.
+        # The answer is complete then; a further attempt would ask an engine for zero
+        # tokens and get one too many.
         if self.delivered_tokens >= self.max_tokens:
             return self._end(ResultCode.OK, FINISH_LENGTH)
         if fault is AttemptFault.CONNECTION_LOST and not self._is_resumed:
@@ -87,13 +87,13 @@
         return self._retry(False, self._compute_failover_cost(), delay, now)
 
     def _is_engine_crash(self, fault: AttemptFault) -> bool:
-        """Return whether an engine that lost the stream takes no connection now."""
+        """Return whether an engine refuses connections after it lost the stream."""
         return self._is_resumed and fault is AttemptFault.NOT_CONNECTED
 
     def _compute_delay(self, fault: AttemptFault) -> float:
-        # Faults that come together pass over each other in milliseconds. Symptom of
-        # trying again at once: the attempts are used up before any engine could
-        # answer. The first failovers go at once, later ones wait for longer each time.
+        # Several faults can occur within milliseconds, and immediate retries would use
+        # up the attempts before any engine could answer. So only the first failovers
+        # are immediate, and later ones back off exponentially.
         number = self._attempts_without_progress
         if fault is not AttemptFault.REFUSED:
             number -= c.IMMEDIATE_FAILOVERS
@@ -102,8 +102,8 @@
         return min(c.RETRY_BACKOFF_SECONDS * 2**number, c.RETRY_BACKOFF_MAX_SECONDS)
 
     def _compute_failover_cost(self) -> float:
-        # What an engine has done is done again by the next one. Where the stream that
-        # is left never ran, the next attempt is in truth the first.
+        # The next engine repeats the work of the last one. If the last stream never
+        # ran, there is no work to repeat.
         if self._has_stream_run:
             return c.RETRY_COST_FAILOVER
         return c.RETRY_COST_REFUSED
@@ -160,7 +160,7 @@
 
 @singledispatch
 def _handle(event: Event, lifecycle: RequestLifecycle, now: float) -> list[Effect]:
-    raise TypeError(f"not an event: {event!r}")
+    raise TypeError(f"unknown life-cycle event: {event!r}")
 
 
 @_handle.register
@@ -170,9 +170,8 @@
     lifecycle._record_run()
     if event.offset > lifecycle.delivered_tokens:
         return lifecycle._recover(AttemptFault.CONNECTION_LOST, now)
-    # A resumed stream may begin before the offset asked for. Symptom: the caller
-    # reads some tokens twice. Only what is past the delivered tokens is new, and
-    # nothing past max_tokens was asked for.
+    # A resumed stream may begin before the requested offset. Tokens that were already
+    # delivered, and those beyond max_tokens, are dropped.
     pieces = event.pieces[lifecycle.delivered_tokens - event.offset :]
     pieces = pieces[: lifecycle.max_tokens - lifecycle.delivered_tokens]
     if not pieces:
@@ -212,9 +211,8 @@
 def _(event: PlacementRefused, lifecycle: RequestLifecycle, now: float) -> list[Effect]:
     if event.attempt != lifecycle._attempt:
         return []
-    # An engine may have run a part already. Symptom: the caller is told "not run"
-    # of a request whose text it has read. So a refusal ends the request as it
-    # stands only where no attempt can have run; else a place is waited for.
+    # The refusal's code says "not run", so it is reported only if no attempt can have
+    # run. Otherwise the request waits for a target.
     if not lifecycle._may_have_run:
         return lifecycle._end(event.code, retry_after_seconds=event.retry_after_seconds)
     delay = min(event.retry_after_seconds, c.RETRY_BACKOFF_MAX_SECONDS)
--- a/libraries/requests/tarragonward_requests/outliers.py
+++ b/libraries/requests/tarragonward_requests/outliers.py
@@ -1,4 +1,4 @@
-"""Decide which failing targets get no work for a time (outlier detection)."""
+"""Outlier detection: eject failing targets from selection for a limited time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class FixedEjection:
-    """Exclude for as long as the last list's lifetime.
+    """Eject for a fixed time, the lifetime of the target list.
 
     Source: DASH-IF CTS 007, Content Steering for DASH, clause 7, step 14 c.
     """
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class ExponentialBackoff:
-    """Exclude for a time that doubles with each exclusion, then send work again."""
+    """Eject for a time that doubles with each ejection, then restore the target."""
 
     base_seconds: float = c.EJECTION_BASE_SECONDS
     cap_seconds: float = c.EJECTION_MAX_SECONDS
@@ -52,7 +52,7 @@
 @singledispatch
 def compute_ejection_seconds(policy: EjectionPolicy, ejections: int) -> float:
     """Return the seconds for which a target's nth ejection lasts; the first is 1."""
-    raise TypeError(f"not a policy: {policy!r}")
+    raise TypeError(f"unknown ejection policy: {policy!r}")
 
 
 @compute_ejection_seconds.register
@@ -76,12 +76,12 @@
 
 
 class OutlierDetector:
-    """What this host has seen of each target that failed lately; times in seconds.
+    """Failures of each target as seen by this host; times in seconds.
 
-    A dead engine has the least work in flight. Symptom: it is chosen again and again,
-    and every request spends its retries there. Leaving it out of the choice after a
-    refused connection, a silence, or some failures in a row is enough, as the time is
-    bounded and the last ones are never all left out.
+    A crashed engine has the fewest requests in flight, so least-loaded selection would
+    choose it again and again. It is ejected after a refused connection, a time-out, or
+    several consecutive failures. Ejections are limited in time, and if all targets are
+    ejected, all of them may be selected.
     """
 
     def __init__(self, policy: EjectionPolicy | None = None) -> None:
@@ -89,11 +89,11 @@
         self._records: dict[str, _Record] = {}
 
     def record_success(self, target: str) -> None:
-        """Note work that the target ended well."""
+        """Record successful work, which resets the target's record."""
         self._records.pop(target, None)
 
     def record_failure(self, target: str, fault: AttemptFault, now: float) -> bool:
-        """Note a failed attempt; return whether the target is excluded by it."""
+        """Record a failed attempt; return whether it ejects the target."""
         if fault is AttemptFault.REFUSED:
             return False
         record = self._records.setdefault(target, _Record())
@@ -107,15 +107,15 @@
         return True
 
     def select(self, targets: Iterable[str], now: float) -> list[str]:
-        """Return the targets that may get work: never none where some were given."""
+        """Return the targets that may get work; all of them if all are ejected."""
         names = list(targets)
-        usable = [name for name in names if not self._is_ejected(name, now)]
-        selected = usable or names
+        available = [name for name in names if not self._is_ejected(name, now)]
+        selected = available or names
         invariants.check(bool(selected) == bool(names), "never_all_excluded")
         return selected
 
     def get_due_probes(self, now: float) -> list[str]:
-        """Return the targets whose exclusion is over but for a probe's answer."""
+        """Return the targets whose ejection time is over and that need a probe."""
         if not isinstance(self._policy, ProbedExponentialBackoff):
             return []
         return [
@@ -125,19 +125,19 @@
         ]
 
     def record_probe(self, target: str, is_alive: bool, now: float) -> None:
-        """Note a probe's end: take the target back, or exclude it for longer."""
+        """Record a probe's result: restore the target, or eject it for longer."""
         record = self._records.get(target)
         if record is None or record.ejected_until is None:
             return
         if is_alive:
-            # Strikes stay until work ends well: a target that answers probes but
-            # fails its work is left out for longer each time.
+            # The number of ejections stays until work succeeds: a target that answers
+            # probes but fails its work is ejected for longer each time.
             record.ejected_until, record.failures = None, 0
         else:
             self._eject(record, now)
 
     def retain_only(self, targets: Iterable[str]) -> None:
-        """Forget targets that are published no more, so that memory is bounded."""
+        """Drop the records of all other targets, so that memory is bounded."""
         kept = set(targets)
         for name in self._records.keys() - kept:
             del self._records[name]
--- a/libraries/requests/tarragonward_requests/retries.py
+++ b/libraries/requests/tarragonward_requests/retries.py
@@ -1,4 +1,4 @@
-"""Bound retries to a share of recent first attempts."""
+"""Limit retries to a share of recent first attempts."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class RetryBudget:
-    """What first attempts of the last seconds allow in retries.
+    """Retry budget: a share of the first attempts within a sliding window.
 
-    When a failure domain fails, every request there wants a retry at once. Symptom:
-    the retries alone keep the rest overloaded. A share of recent first attempts bounds
-    retries to that share of the load whatever fails, and the window's end forgets an
-    earlier, larger load. The floor lets a host with little load retry at all.
+    When a failure domain fails, all of its requests are retried at once, and these
+    retries alone could keep the remaining targets overloaded. The share bounds the
+    extra load whatever fails, and the window discards the credit of an earlier, larger
+    load. The floor lets a host with little load retry at all.
     """
 
     def __init__(
@@ -42,18 +42,18 @@
         self._buckets: deque[_Bucket] = deque()
 
     def compute_balance(self, now: float) -> float:
-        """Return how many whole retries may be made at the time now."""
+        """Return the remaining budget in full retries."""
         self._expire(now)
-        first_attempts = sum(second.first_attempts for second in self._buckets)
-        spent = sum(second.spent for second in self._buckets)
+        first_attempts = sum(bucket.first_attempts for bucket in self._buckets)
+        spent = sum(bucket.spent for bucket in self._buckets)
         return self._floor + self._share * first_attempts - spent
 
     def record_first_attempt(self, now: float) -> None:
-        """Let the budget grow by one first attempt's share."""
+        """Add one first attempt's share to the budget."""
         self._get_bucket(now).first_attempts += 1
 
     def try_spend(self, cost: float, now: float) -> bool:
-        """Return whether a retry of this cost may be made, and take it."""
+        """Spend the cost of a retry if the budget allows it; return whether it did."""
         if self.compute_balance(now) < cost:
             return False
         self._get_bucket(now).spent += cost
--- a/libraries/requests/tarragonward_requests/shared_budget.py
+++ b/libraries/requests/tarragonward_requests/shared_budget.py
@@ -1,4 +1,4 @@
-"""Bound the repeats that all hosts together send to a service, without shared state."""
+"""Limit the retries that all hosts together send to a service, without shared state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class RetryBudgetBounds:
-    """What all hosts may send: share x requests + slack in any window."""
+    """Fleet-wide limit: share * requests + slack retries in any window."""
 
     share: float
     slack: float
@@ -23,20 +23,21 @@
 
 @dataclass
 class _Usage:
-    """Requests in short buckets of time, and the times of repeats."""
+    """Request counts by time bucket, as (bucket, count), and the times of retries."""
 
     buckets: deque[tuple[int, int]] = field(default_factory=deque)
     retries: deque[float] = field(default_factory=deque)
 
 
 class SharedRetryBudget:
-    """One host's part: the share of its own requests, and its part of the slack.
-
-    Parts add up to no more than the whole, so no host needs to know what others sent.
-    Of its part of the slack a life of a host uses three quarters, and an eighth while
-    it is younger than a window: with the earlier life's use two restarts in one window
-    stay within the part. Requests count in the window that ends now, a little less of
-    them than there were; the bound's own windows lie around them.
+    """One host's part of the limit: a share of its own requests and of the slack.
+
+    The parts of all hosts add up to at most the limit, so no host has to know what the
+    others send. An incarnation uses three quarters of the host's part of the slack, and
+    one eighth during its first window. It does not know what earlier incarnations sent,
+    but even with two restarts within one window they stay within the part together.
+    Requests are counted in the window that ends now and reduced by a safety factor, as
+    the limit applies to any window around them.
     """
 
     def __init__(self, bounds: RetryBudgetBounds, now: float) -> None:
@@ -55,17 +56,17 @@
             buckets.append((number, 1))
 
     def can_retry(self, service: str, hosts: int, now: float, is_urgent: bool) -> bool:
-        """Return whether one more repeat may be sent.
+        """Return whether one more retry may be sent.
 
-        hosts is how many share the slack, never told too low. A part of the slack is
-        kept for urgent repeats: an answer that broke off in its middle.
+        hosts is the number of hosts that share the slack; it must not be too low. Part
+        of the slack is reserved for urgent retries, of answers that broke off midway.
         """
         return self._count_retries(service, now) + 1.0 <= self._compute_limit(
             service, hosts, now, is_urgent
         )
 
     def count_remaining(self, hosts: int, now: float) -> int:
-        """Return how many ordinary repeats fit now, by the service with least room."""
+        """Return the non-urgent retries left for the service with the fewest left."""
         return min(
             (
                 int(self._compute_limit(service, hosts, now, is_urgent=False))
@@ -76,7 +77,7 @@
         )
 
     def record_retry(self, service: str, hosts: int, now: float) -> None:
-        """Count a repeat that is about to be sent."""
+        """Count a retry that is about to be sent."""
         self._get_usage(service).retries.append(now)
         limit = self._compute_limit(service, hosts, now, is_urgent=True)
         invariants.check(
@@ -84,10 +85,10 @@
         )
 
     def refund_retry(self, service: str, recorded_at: float) -> None:
-        """Take back a repeat of which no byte was sent: it arrives nowhere.
+        """Refund a retry of which no byte was sent.
 
-        Behind a cut one request after the other finds no connection. Symptom of
-        counting these: the part is spent, and answers that broke off go unrepeated.
+        During a network partition many connections fail. If these counted, the budget
+        would be spent, and answers that broke off could not be retried.
         """
         retries = self._get_usage(service).retries
         if recorded_at in retries:
@@ -117,8 +118,8 @@
         return sum(count for _, count in buckets)
 
     def _count_retries(self, service: str, now: float) -> int:
-        # Repeats arrive later than they are sent, one more so than another: two that
-        # were sent a window apart may arrive in one.
+        # Delivery times vary, so retries sent a window apart may arrive within one
+        # window at the target.
         oldest = now - self.bounds.window_seconds - c.BUDGET_ARRIVAL_JITTER_SECONDS
         retries = self._get_usage(service).retries
         while retries and retries[0] < oldest:
