--- a/libraries/bench/tarragonward_bench/hearing/host.py
+++ b/libraries/bench/tarragonward_bench/hearing/host.py
@@ -120,7 +120,7 @@
         self._given = 0
         self._pulls = PullLimit()
         self._incoming: Transfer | None = None
-        self.book = RecordStore()
+        self.record_store = RecordStore()
         self.version = 0
         self._has_told = False
         self.confirmed_at = -math.inf
@@ -179,7 +179,9 @@
         return self.follower.choose_step(self.place, now - self.confirmed_at, now)
 
     def _ask(self, step: Step, asked: int) -> None:
-        call = _SourceCall(asked, self._world.now, self.book.complete, self._suspended)
+        call = _SourceCall(
+            asked, self._world.now, self.record_store.complete_revision, self._suspended
+        )
         source = self._fleet.source
         timeout = gateway_const.READ_SILENCE_TIMEOUT_SECONDS
         if not isinstance(step, ReadAll):
@@ -266,17 +268,17 @@
         read = self._reading.add_page(page, asked_at)
         if read is None:
             return PageRead()
-        portion = RecordBatch(read.records, read.revision, True)
-        new = self.take(portion, self.book.complete)
+        batch = RecordBatch(read.records, read.revision, True)
+        new = self.take(batch, self.record_store.complete_revision)
         if not self._has_told:
             self._has_told = True
             self._tell_records_to(self.members.get_addresses())
         age = self._reading.compute_age(self._world.now)
         return SourceAnswered(bool(new), age_seconds=age)
 
-    def take(self, portion: RecordBatch, after: int) -> list[Record]:
+    def take(self, batch: RecordBatch, after: int) -> list[Record]:
         """Take records in, put a table in force."""
-        new = self.book.take(portion, after)
+        new = self.record_store.apply(batch, after)
         for record in new:
             if record.key == TABLE_KEY and record.value is not None:
                 version = int(record.value)
@@ -287,7 +289,9 @@
     def _hear(self, event: FollowEvent) -> None:
         now = self._world.now
         hosts = self.members.count_hosts()
-        for effect in self.follower.handle(event, self.book.complete, hosts, now):
+        for effect in self.follower.handle(
+            event, self.record_store.complete_revision, hosts, now
+        ):
             if isinstance(effect, MarkConfirmed):
                 self.confirmed_at = max(self.confirmed_at, now - effect.age_seconds)
             elif isinstance(effect, PullFromPeer) and self._pulls.begin(now):
@@ -299,7 +303,7 @@
 
     def _pull(self, name: str) -> None:
         other = build_address(int(name.rpartition("-")[2]))
-        after, asked_at = self.book.complete, self._world.now
+        after, asked_at = self.record_store.complete_revision, self._world.now
         fleet = self._fleet
 
         def end() -> None:
@@ -323,23 +327,21 @@
             if peer.is_giving_to_many:
                 refuse_soon()
                 return
-            portion = peer.book.get_since(after)
+            batch = peer.record_store.get_since(after)
             age = self._world.now - peer.confirmed_at
-            peer.give(
-                portion, self, lambda: take(portion, age, peer.number), refuse_soon
-            )
+            peer.give(batch, self, lambda: take(batch, age, peer.number), refuse_soon)
 
-        def take(portion: RecordBatch, age: float, number: int) -> None:
+        def take(batch: RecordBatch, age: float, number: int) -> None:
             end()
             if fleet.links.is_cut(self.number, number):
                 return
-            if self._wake_at(take, portion, age, number):
-                self.take(portion, after)
+            if self._wake_at(take, batch, age, number):
+                self.take(batch, after)
                 self._hear(PeerDataApplied())
                 if not self._has_told:
                     self._has_told = True
                     self._tell_records(True)
-                if portion.complete >= self.book.changed:
+                if batch.complete_revision >= self.record_store.latest_revision:
                     self.confirmed_at = max(self.confirmed_at, asked_at - age)
 
         self._world.after(self._world.draw_delay(), answer)
@@ -351,7 +353,7 @@
 
     def give(
         self,
-        portion: RecordBatch,
+        batch: RecordBatch,
         asker: Host,
         take: Callable[[], None],
         end: Callable[[], None],
@@ -369,7 +371,7 @@
                 self._given -= 1
                 end()
 
-        size = fleet.sizes.compute_given(portion.records)
+        size = fleet.sizes.compute_given(batch.records)
         transfer = fleet.transfers.start(self.number, asker.number, size, come)
         self._world.after(wire_const.LONGEST_TRANSFER_SECONDS, give_up)
 
@@ -428,7 +430,7 @@
 
     def _build_section(self) -> Section:
         age = self._world.now - self.confirmed_at
-        return self.book.changed, pack_age(age), self.version
+        return self.record_store.latest_revision, pack_age(age), self.version
 
     def _pack(self, section: Section, is_brief: bool) -> tuple[Hello, int]:
         hello = self.members.build_hello(self._world.now, is_brief)
--- a/libraries/bench/tarragonward_bench/hearing/runs.py
+++ b/libraries/bench/tarragonward_bench/hearing/runs.py
@@ -382,9 +382,9 @@
         """Return the first change until a time that the host lacks."""
         missed = None
         for at, record in reversed(log):
-            if record.revision <= host.book.complete:
+            if record.revision <= host.record_store.complete_revision:
                 break
-            if at <= until and record.revision > host.book.changed:
+            if at <= until and record.revision > host.record_store.latest_revision:
                 missed = at, record.key, record.revision
         return missed
 
--- a/libraries/gateway/tarragonward_gateway/cell_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/cell_gossip.py
@@ -42,7 +42,7 @@
         # Bytes that may be sent about prefills; negative after a message to many hosts.
         self._credit = float(c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND)
         self._credit_at = read_clock()
-        chooser.book.on_change.append(self._handle_prompt_change)
+        chooser.usage.on_change.append(self._handle_prompt_change)
         peers.add_section(SECTION, self._build, chooser.take_summary)
 
     async def async_setup(self) -> None:
@@ -68,7 +68,7 @@
     def _resend_long_prefill(self, remote: list[Address]) -> None:
         now = read_clock()
         is_due = now - self._sent_at >= c.PREFILL_REPEAT_SECONDS
-        if is_due and self._chooser.book.has_long_prefill(now):
+        if is_due and self._chooser.usage.has_long_prefill(now):
             self._send_prefill(remote, now)
 
     def _handle_prompt_change(self, is_long: bool) -> None:
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -1,4 +1,4 @@
-"""Follow what is published, the routing table and the targets, from the source."""
+"""Keep the published records, routing table and targets, up to date on this host."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 __all__ = ["PublicationTask"]
 
 TASK_NAME = "publications"
-DOUBT_TASK_NAME = "publications_doubt"
+AGE_CHECK_TASK_NAME = "publications_doubt"
 SECTION = "publications"
 
 
 class PublicationTask:
-    """Hold the newest records, from the source or, where it is silent, from peers."""
+    """Fetches records from the source or, if it does not answer, from peers."""
 
     def __init__(
         self,
@@ -61,23 +61,23 @@
         get_polling_order: Callable[[], PollingOrder],
     ) -> None:
         self._state = state
-        self._get_place = get_polling_order
+        self._get_polling_order = get_polling_order
         self._reader = reader
         self._parser = parser
         self._peers = peers
         self._follower = Follower(state.random, read_clock(), self._choose_start_wait())
-        self._reading = PagedRead()
+        self._paged_read = PagedRead()
         self._background = BackgroundTasks(state.metrics)
         self._pulls: set[asyncio.Task[None]] = set()
         self._pull_limit = PullLimit()
         self._wake = asyncio.Event()
-        self._has_told = False
-        self.book = RecordStore()
+        self._has_announced = False
+        self.record_store = RecordStore()
         self.on_table: list[Callable[[], None]] = []
         self._control = HttpServer(
-            state.settings.control, RecordHandler(state, self.book).async_handle
+            state.settings.control, RecordHandler(state, self.record_store).async_handle
         )
-        peers.add_section(SECTION, self._build_section, self._take_section)
+        peers.add_section(SECTION, self._build_section, self._apply_section)
 
     def _choose_start_wait(self) -> float:
         settings = self._state.settings
@@ -86,13 +86,13 @@
         return 0.0 if is_seed or not others else c.START_WAIT_SECONDS
 
     async def async_setup(self) -> None:
-        """Start to follow, and to give peers what they lack."""
+        """Start following the source and answering the record requests of peers."""
         await self._control.async_setup()
         self._background.start(TASK_NAME, self._async_follow)
-        self._background.start(DOUBT_TASK_NAME, self._async_doubt)
+        self._background.start(AGE_CHECK_TASK_NAME, self._async_check_confirmed_age)
 
     async def async_unload(self) -> None:
-        """Stop to follow."""
+        """Stop following the source and answering peers."""
         await self._background.async_unload()
         pulls = list(self._pulls)
         for pull in pulls:
@@ -104,15 +104,17 @@
         while True:
             self._wake.clear()
             age = self._get_confirmed_age()
-            step = self._follower.choose_step(self._get_place(), age, read_clock())
+            step = self._follower.choose_step(
+                self._get_polling_order(), age, read_clock()
+            )
             if isinstance(step, Pause):
                 await self._async_until_woken(asyncio.sleep(step.seconds))
                 continue
             begun_at = read_clock()
-            if not await self._async_until_woken(self._async_ask(step)):
-                self._note_given_up(step, read_clock() - begun_at)
+            if not await self._async_until_woken(self._async_query_source(step)):
+                self._record_abandoned_query(step, read_clock() - begun_at)
 
-    def _note_given_up(self, step: ReadAll | Watch, seconds: float) -> None:
+    def _record_abandoned_query(self, step: ReadAll | Watch, seconds: float) -> None:
         self._state.metrics.count("source_asks_given_up")
         ask = "reading" if isinstance(step, ReadAll) else "watch"
         log_event("source_ask_given_up", ask=ask, seconds=seconds)
@@ -120,95 +122,103 @@
     def _get_confirmed_age(self) -> float:
         return read_clock() - self._state.table_confirmed_at
 
-    async def _async_doubt(self) -> None:
-        """Give up a watch once nobody has confirmed for long what this host holds."""
+    async def _async_check_confirmed_age(self) -> None:
+        """Report the confirmed age to the follower, which may abandon a dead watch."""
         while True:
             left = c.MAX_CONFIRMED_AGE_SECONDS - self._get_confirmed_age()
             await asyncio.sleep(max(left, c.CONFIRMED_AGE_CHECK_SECONDS))
-            self._hear(ConfirmationAged(self._get_confirmed_age()))
+            self._handle_event(ConfirmationAged(self._get_confirmed_age()))
 
     async def _async_until_woken(self, work: Any) -> bool:
-        """Do the work until its end, or until a peer shows that it is in vain.
+        """Run the work until it ends or is cancelled by the wake event.
 
-        Return whether it came to its end.
+        Return whether it ended by itself.
         """
-        doing = asyncio.ensure_future(work)
-        waking = asyncio.create_task(self._wake.wait())
+        work_task = asyncio.ensure_future(work)
+        wake_task = asyncio.create_task(self._wake.wait())
         try:
-            await asyncio.wait({doing, waking}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                {work_task, wake_task}, return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
-            waking.cancel()
-            if not doing.done():
-                doing.cancel()
-            done, _ = await asyncio.gather(doing, waking, return_exceptions=True)
-        # What nobody foresaw goes to the supervisor, which says it and waits a second.
-        # Passed over, an answer that can't be read would be asked for without a pause.
+            wake_task.cancel()
+            if not work_task.done():
+                work_task.cancel()
+            done, _ = await asyncio.gather(work_task, wake_task, return_exceptions=True)
+        # An unexpected error goes to the supervisor, which logs it and waits a second.
+        # If it were ignored, an unreadable answer would be requested again at once.
         if isinstance(done, Exception):
             raise done
         return not isinstance(done, asyncio.CancelledError)
 
-    async def _async_ask(self, step: ReadAll | Watch) -> None:
+    async def _async_query_source(self, step: ReadAll | Watch) -> None:
         try:
             answered = await self._async_read(step)
         except HistoryLostError:
-            log_event("source_history_lost", revision=self.book.complete)
-            self._reading.clear()
-            self._hear(HistoryLost())
+            log_event(
+                "source_history_lost", revision=self.record_store.complete_revision
+            )
+            self._paged_read.clear()
+            self._handle_event(HistoryLost())
         except SourceError as err:
             if not self._follower.failures:
                 log_event("source_lost", error=str(err))
-            self._hear(SourceFailed())
+            self._handle_event(SourceFailed())
         else:
             if self._follower.failures:
                 log_event("source_regained", failures=self._follower.failures)
-            self._hear(answered)
+            self._handle_event(answered)
             if isinstance(answered, SourceAnswered):
-                self._tell_answer(answered.has_changes)
-
-    def _tell_answer(self, has_changes: bool) -> None:
-        """Tell peers that the source answered, and what this host holds."""
-        if not self._has_told:
-            # Hosts that start together each greeted this one before it held anything.
-            # Symptom: they hear of it at their turn, up to a second later, and refuse
-            # all callers meanwhile. It is told once, by the few that read first.
-            self._has_told = True
+                self._notify_peers(answered.has_changes)
+
+    def _notify_peers(self, has_changes: bool) -> None:
+        """Notify peers that the source answered and which revision this host has."""
+        if not self._has_announced:
+            # Hosts that started together exchanged hellos before this one had records.
+            # Without this message they would learn of the records in the next gossip
+            # round, up to a second later, and refuse all callers until then.
+            self._has_announced = True
             self._peers.send_section_to_all(SECTION)
-        elif self._get_place().group:
-            # In a large fleet few hosts ask, and the others wait for their word.
+        elif self._get_polling_order().group:
+            # In a large fleet the standbys depend on the messages of the few pollers.
             self._peers.send_now(is_urgent=has_changes)
 
     async def _async_read(self, step: ReadAll | Watch) -> SourceAnswered | PageRead:
         if isinstance(step, ReadAll):
             return await self._async_read_page()
-        after, suspended = self.book.complete, read_suspended_seconds()
+        after, suspended = self.record_store.complete_revision, read_suspended_seconds()
         read = await self._reader.async_watch(
             after, step.seconds, c.WATCH_SILENCE_TIMEOUT_SECONDS
         )
-        # The answer may have lain in the socket of a host that stood still. Symptom:
-        # the host, and all that hear it, take an old table for confirmed just now.
+        # If the process was suspended, the answer may have waited in the socket. If
+        # that time were not added, the host and its peers would take an old table for
+        # just confirmed.
         age = read.age_seconds + max(0.0, read_suspended_seconds() - suspended)
-        new = self.take(RecordBatch(read.records, read.revision, False), after)
+        new = self.apply(RecordBatch(read.records, read.revision, False), after)
         is_gap = not read.records and read.revision > after
         return SourceAnswered(bool(new), is_gap, age)
 
     async def _async_read_page(self) -> SourceAnswered | PageRead:
-        asked_at = read_clock()
-        after = self._reading.get_after_key(asked_at)
+        requested_at = read_clock()
+        after = self._paged_read.get_after_key(requested_at)
         page = await self._reader.async_read_page(after, c.READ_SILENCE_TIMEOUT_SECONDS)
-        read = self._reading.add_page(page, asked_at)
+        read = self._paged_read.add_page(page, requested_at)
         if read is None:
             return PageRead()
         log_event("records_read", count=len(read.records), revision=read.revision)
-        new = self.take(
-            RecordBatch(read.records, read.revision, True), self.book.complete
+        new = self.apply(
+            RecordBatch(read.records, read.revision, True),
+            self.record_store.complete_revision,
         )
-        age = self._reading.compute_age(read_clock())
+        age = self._paged_read.compute_age(read_clock())
         return SourceAnswered(bool(new), age_seconds=age)
 
-    def _hear(self, event: FollowEvent) -> None:
+    def _handle_event(self, event: FollowEvent) -> None:
         now = read_clock()
         hosts = self._peers.members.count_hosts()
-        for effect in self._follower.handle(event, self.book.complete, hosts, now):
+        for effect in self._follower.handle(
+            event, self.record_store.complete_revision, hosts, now
+        ):
             if isinstance(effect, MarkConfirmed):
                 self._confirm(now - effect.age_seconds)
             elif isinstance(effect, PullFromPeer):
@@ -227,78 +237,88 @@
         self._state.table_confirmed_at = max(self._state.table_confirmed_at, at)
 
     async def _async_pull(self, name: str, begun_at: float) -> None:
-        """Take over from a peer what this host lacks, or from another one."""
+        """Pull missing records from a peer, and report a failed pull after a delay."""
         try:
-            is_given = await self._async_take_from(name)
-            if not is_given:
+            is_applied = await self._async_pull_from(name)
+            if not is_applied:
                 wait = self._state.random.random() * c.MAX_NEXT_PEER_DELAY_SECONDS
                 await asyncio.sleep(wait)
         finally:
             self._pull_limit.end(begun_at)
-        if not is_given:
-            self._hear(PeerPullFailed(name))
+        if not is_applied:
+            self._handle_event(PeerPullFailed(name))
 
-    async def _async_take_from(self, name: str) -> bool:
-        """Return whether a peer gave what this host lacks."""
+    async def _async_pull_from(self, name: str) -> bool:
+        """Pull and apply the records of one peer; return whether it sent them."""
         address = self._peers.get_control_address(name)
         if address is None:
             return False
-        asked_at, after = read_clock(), self.book.complete
+        requested_at, after = read_clock(), self.record_store.complete_revision
         try:
-            given = await async_pull_records(address, after)
+            answer = await async_pull_records(address, after)
         except (TargetError, FrameError) as err:
             log_event("peer_gave_no_records", peer=name, error=str(err))
             return False
-        new = self.take(given.portion, after)
+        new = self.apply(answer.batch, after)
         log_event("records_from_peer", peer=name, count=len(new), after=after)
-        self._hear(PeerDataApplied())
-        if not self._has_told:
-            self._has_told = True
+        self._handle_event(PeerDataApplied())
+        if not self._has_announced:
+            self._has_announced = True
             self._peers.send_now(is_urgent=True)
-        if given.portion.complete >= self.book.changed:
-            self._confirm(asked_at - given.confirmed_age)
+        if answer.batch.complete_revision >= self.record_store.latest_revision:
+            self._confirm(requested_at - answer.confirmed_age)
         return True
 
     def _build_section(self) -> tuple[int, int | None, int]:
         age = read_clock() - self._state.table_confirmed_at
         table = self._state.table
-        return self.book.changed, pack_age(age), table.version if table else 0
+        return (
+            self.record_store.latest_revision,
+            pack_age(age),
+            table.version if table else 0,
+        )
 
-    def _take_section(self, name: str, data: Any, age: float) -> None:
-        changed, confirmed_age, _version = data
-        if type(changed) is not int or changed < 0:
-            raise ValueError("not a revision")
+    def _apply_section(self, name: str, data: Any, age: float) -> None:
+        latest_revision, confirmed_age, _version = data
+        if type(latest_revision) is not int or latest_revision < 0:
+            raise ValueError("revision is not a non-negative integer")
         before = self._state.table_confirmed_at
-        self._hear(PeerReported(name, changed, unpack_age(confirmed_age) + age))
-        is_news = self._state.table_confirmed_at - before > c.RELAY_MIN_GAIN_SECONDS
-        # Word of another group reaches one host of this one. Symptom: the rest of the
-        # group asks the source for what is known. Mates were told by their own mate.
-        if is_news and self._get_place().group and not self._peers.is_cell_peer(name):
+        self._handle_event(
+            PeerReported(name, latest_revision, unpack_age(confirmed_age) + age)
+        )
+        is_newer = self._state.table_confirmed_at - before > c.RELAY_MIN_GAIN_SECONDS
+        # Messages of another group reach one host of this one. If it did not relay
+        # them, the rest of the group would query the source for known data. Messages of
+        # the own group have reached all of its hosts.
+        if (
+            is_newer
+            and self._get_polling_order().group
+            and not self._peers.is_cell_peer(name)
+        ):
             self._peers.send_now()
 
-    def take(self, portion: RecordBatch, after: int) -> list[Record]:
-        """Take records in, in any order; return those that were new."""
-        new = self.book.take(portion, after)
-        gone = [record for record in new if record.value is None]
+    def apply(self, batch: RecordBatch, after: int) -> list[Record]:
+        """Apply records, in any order; return those that were new."""
+        new = self.record_store.apply(batch, after)
+        removed = [record for record in new if record.value is None]
         for record in new:
             if record.value is not None:
-                self._put(record)
-        self._withdraw(gone, portion.is_whole)
+                self._apply_record(record)
+        self._withdraw(removed, batch.is_snapshot)
         return new
 
-    def _put(self, record: Record) -> None:
+    def _apply_record(self, record: Record) -> None:
         name = self._parser.get_target_name(record.key)
         if name is None:
-            self._put_table(record)
+            self._apply_table(record)
             return
         target = self._parser.parse_target(record)
         if target is None:
-            # Any writer may leave an entry there. What it says instead of a target's
-            # own is not known, so no target is used by it; the target's own next
-            # record, a second later, brings it back.
+            # Any writer may overwrite a target's entry. The target is removed, as its
+            # state is unknown; its own next record, a second later, registers it again.
             self._state.metrics.count("target_records_refused")
             log_event("target_record_refused", key=record.key)
-            self._take_out(WithdrawnTarget(name, record.revision))
+            self._remove_target(WithdrawnTarget(name, record.revision))
         elif self._state.registry.apply(target):
             log_event(
                 "target_registered",
@@ -307,18 +327,18 @@
                 ready=target.is_ready,
             )
 
-    def _put_table(self, record: Record) -> None:
+    def _apply_table(self, record: Record) -> None:
         table = self._parser.parse_table(record)
         if table is None:
-            self._note_refused_table(record)
+            self._record_refused_table(record)
         elif self._state.install_table(table):
             log_event("table_in_force", version=table.version, routes=len(table.routes))
             for notify in self.on_table:
                 notify()
 
-    def _note_refused_table(self, record: Record) -> None:
+    def _record_refused_table(self, record: Record) -> None:
         if self._parser.is_table(record.key):
-            # The host goes on by the table before it, so nothing else would show it.
+            # The host keeps the previous table, so nothing else would show the refusal.
             self._state.metrics.count("tables_refused")
             log_event(
                 "table_refused",
@@ -327,51 +347,56 @@
                 revision=record.revision,
             )
 
-    def _withdraw(self, records: Iterable[Record], is_reading: bool) -> None:
-        """Take out the targets whose records are gone.
+    def _withdraw(self, records: Iterable[Record], is_full_read: bool) -> None:
+        """Remove the targets whose records are gone, at once or after a delay.
 
-        While the source is away the records of targets that are well lapse, and are
-        back moments after it. Symptom: a service has no target, and all its requests
-        are refused. A target that leaves goes on serving for a known time, so one that
-        was ready is used for a part of that time more; a newer record keeps it.
+        While the source is in an outage the records of healthy targets expire, and
+        they return moments after it recovers. If these targets were removed at once, a
+        service could have none and all its requests would be refused. A target that
+        leaves keeps serving during its drain time, so one that was ready is used for a
+        part of that time, and a newer record keeps it registered.
         """
-        gone = []
+        removed = []
         for record in records:
             name = self._parser.get_target_name(record.key)
             known = name and self._state.registry.get(name)
             if known:
-                gone.append((known, record.revision))
-        shares = self._choose_linger_shares([target for target, _ in gone], is_reading)
-        for target, revision in gone:
+                removed.append((known, record.revision))
+        shares = self._choose_linger_shares(
+            [target for target, _ in removed], is_full_read
+        )
+        for target, revision in removed:
             withdrawn = WithdrawnTarget(target.name, revision)
             share = shares[target.service] if target.is_ready else 0.0
             if not share:
-                self._take_out(withdrawn)
+                self._remove_target(withdrawn)
                 continue
             log_event("target_lapsed", target=target.id)
             linger = share * self._state.settings.bounds.drain_seconds
-            asyncio.get_running_loop().call_later(linger, self._take_out, withdrawn)
+            asyncio.get_running_loop().call_later(
+                linger, self._remove_target, withdrawn
+            )
 
     def _choose_linger_shares(
-        self, gone: list[RegisteredTarget], is_reading: bool
+        self, removed: list[RegisteredTarget], is_full_read: bool
     ) -> dict[str, float]:
-        """Return by service how much of the drain time its gone targets are used."""
+        """Return for how much of the drain time each service uses removed targets."""
         now = read_clock()
         is_silent = (
             now - self._state.table_confirmed_at > c.OUTAGE_CONFIRMED_AGE_SECONDS
         )
         is_outage = is_silent or self._follower.is_after_outage(now)
-        counts = Counter(target.service for target in gone if target.is_ready)
-        shares = dict.fromkeys((target.service for target in gone), 0.0)
+        counts = Counter(target.service for target in removed if target.is_ready)
+        shares = dict.fromkeys((target.service for target in removed), 0.0)
         for service, count in counts.items():
             ready = len(self._state.registry.get_ready(service))
             if is_outage:
-                most = c.LINGER_SHARE if is_reading else c.GUESSED_LINGER_SHARE
-                shares[service] = most
+                share_limit = c.LINGER_SHARE if is_full_read else c.GUESSED_LINGER_SHARE
+                shares[service] = share_limit
             elif count >= max(c.LAPSE_MIN_TARGETS, c.LAPSE_MIN_SHARE * ready):
                 shares[service] = c.GUESSED_LINGER_SHARE
         return shares
 
-    def _take_out(self, withdrawn: WithdrawnTarget) -> None:
+    def _remove_target(self, withdrawn: WithdrawnTarget) -> None:
         if self._state.registry.apply(withdrawn):
             log_event("target_withdrawn", target=withdrawn.name)
--- a/libraries/gateway/tarragonward_gateway/record_exchange.py
+++ b/libraries/gateway/tarragonward_gateway/record_exchange.py
@@ -1,4 +1,4 @@
-"""Give peers the published records that they lack, and ask peers for them."""
+"""Serve published records to peers, and pull them from peers."""
 
 from __future__ import annotations
 
@@ -36,18 +36,18 @@
 
 @dataclass(frozen=True)
 class PeerRecords:
-    """What a peer gave; confirmed_age is since the source answered it or its peers."""
+    """Records from a peer, and the time since the source confirmed them to any host."""
 
-    portion: RecordBatch
+    batch: RecordBatch
     confirmed_age: float
 
 
 def pack_age(seconds: float) -> int | None:
-    """Return an age as it travels, never less than it is; None is never.
+    """Return an age in wire form, rounded up; None stands for an infinite age.
 
-    Ages are told to and fro. Symptom: what each way takes off adds up, and hosts that
-    hear only each other find what they know ever younger. What a datagram takes at
-    best is not measured, so each way adds more than that.
+    Hosts send ages back and forth. If an age lost a little with each transfer, hosts
+    that only hear each other would consider their data ever younger. The transit time
+    is not known, so each transfer adds more than its minimum.
     """
     if not math.isfinite(seconds):
         return None
@@ -55,65 +55,70 @@
 
 
 def unpack_age(item: Any) -> float:
-    """Return the age that pack_age gave; raise FrameError where it is not one."""
+    """Return the age from its wire form; raise FrameError if it is invalid."""
     if item is None:
         return math.inf
     if type(item) is not int or item < 0:
-        raise FrameError("not an age")
+        raise FrameError("age is not a non-negative integer")
     return item / MILLISECONDS
 
 
 class RecordHandler:
-    """The control address: what peers ask this host for."""
+    """Answers the record requests of peers at the control address."""
 
-    def __init__(self, state: GatewayState, book: RecordStore) -> None:
+    def __init__(self, state: GatewayState, record_store: RecordStore) -> None:
         self._state = state
-        self._book = book
-        self._given = 0
-        self._packed: OrderedDict[tuple[int, int, int], bytes] = OrderedDict()
+        self._record_store = record_store
+        self._answers_in_progress = 0
+        self._cached_bodies: OrderedDict[tuple[int, int, int], bytes] = OrderedDict()
 
     async def async_handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer with the records after a revision."""
+        """Answer a request for the records after a revision."""
         after = request.query.get(PARAMETER_AFTER, "")
         if request.path != c.RECORDS_PATH or not after.isdecimal():
             await responder.async_send_error(ResultCode.UNKNOWN_ROUTE)
             return
-        # All that start at once ask the few hosts that hold the records. Symptom: their
-        # links are full, and no asker has its answer in time. Those refused ask again,
-        # most often another host, and each that was given the records gives them on.
-        if self._given >= c.MAX_CONCURRENT_RECORD_ANSWERS:
+        # Hosts that start together all ask the few hosts that have the records. Without
+        # a limit these links would be saturated and no answer would arrive in time. A
+        # refused host asks again, mostly another host, and each host that has received
+        # the records serves them as well.
+        if self._answers_in_progress >= c.MAX_CONCURRENT_RECORD_ANSWERS:
             await responder.async_send_error(ResultCode.OVERLOADED)
             return
-        self._given += 1
+        self._answers_in_progress += 1
         try:
             body = self._pack(int(after))
             await responder.async_send_bytes(STATUS_OK, body, BODY_HEADERS)
         finally:
-            self._given -= 1
+            self._answers_in_progress -= 1
 
     def _pack(self, after: int) -> bytes:
         age = pack_age(read_clock() - self._state.table_confirmed_at)
-        return msgpack.packb((c.RECORDS_FORMAT, age, self._pack_portion(after)))
+        return msgpack.packb((c.RECORDS_FORMAT, age, self._pack_batch(after)))
 
-    def _pack_portion(self, after: int) -> bytes:
-        """Return the records after a revision, compressed; kept for the next asker.
+    def _pack_batch(self, after: int) -> bytes:
+        """Return the records after a revision, compressed, from a small cache.
 
-        Hosts may have thin links. Symptom: a large table does not reach them before
-        they give up the peer that gives it.
+        Uncompressed, a large table would not reach a host on a thin link before the
+        pull times out.
         """
-        key = (after, self._book.changed, self._book.complete)
-        if key not in self._packed:
-            portion = self._book.get_since(after)
-            records = [(r.key, r.revision, r.value) for r in portion.records]
-            body = msgpack.packb((portion.complete, portion.is_whole, records))
-            self._packed[key] = zlib.compress(body, c.RECORDS_COMPRESSION)
-            while len(self._packed) > c.MAX_CACHED_RECORD_BODIES:
-                self._packed.popitem(last=False)
-        return self._packed[key]
+        key = (
+            after,
+            self._record_store.latest_revision,
+            self._record_store.complete_revision,
+        )
+        if key not in self._cached_bodies:
+            batch = self._record_store.get_since(after)
+            records = [(r.key, r.revision, r.value) for r in batch.records]
+            body = msgpack.packb((batch.complete_revision, batch.is_snapshot, records))
+            self._cached_bodies[key] = zlib.compress(body, c.RECORDS_COMPRESSION)
+            while len(self._cached_bodies) > c.MAX_CACHED_RECORD_BODIES:
+                self._cached_bodies.popitem(last=False)
+        return self._cached_bodies[key]
 
 
 async def async_pull_records(address: Address, after: int) -> PeerRecords:
-    """Return a peer's records after a revision; raise TargetError or FrameError."""
+    """Request a peer's records after a revision; raise TargetError or FrameError."""
     answer = await async_send_http(
         address,
         METHOD_GET,
@@ -122,28 +127,28 @@
         silence_timeout=c.PEER_PULL_TIMEOUT_SECONDS,
     )
     if answer.status != STATUS_OK or len(answer.body) > c.MAX_RECORDS_BYTES:
-        raise TargetError(f"status {answer.status}")
+        raise TargetError(f"no usable records, status {answer.status}")
     try:
-        number, age, packed = msgpack.unpackb(answer.body)
-        if number != c.RECORDS_FORMAT:
-            raise ValueError("another format")
-        complete, is_whole, items = msgpack.unpackb(_decompress(packed))
-        if type(complete) is not int:
-            raise ValueError("not a revision")
+        format_number, age, packed = msgpack.unpackb(answer.body)
+        if format_number != c.RECORDS_FORMAT:
+            raise ValueError("unknown format of records")
+        complete_revision, is_snapshot, items = msgpack.unpackb(_decompress(packed))
+        if type(complete_revision) is not int:
+            raise ValueError("revision is not an integer")
         records = tuple(_unpack_record(item) for item in items)
     except (ValueError, TypeError, zlib.error, msgpack.UnpackException) as err:
-        raise FrameError(f"not a peer's records: {err}") from None
+        raise FrameError(f"malformed records from a peer: {err}") from None
     return PeerRecords(
-        RecordBatch(records, complete, is_whole is True), unpack_age(age)
+        RecordBatch(records, complete_revision, is_snapshot is True), unpack_age(age)
     )
 
 
 def _decompress(packed: bytes) -> bytes:
-    """Return what was compressed; raise ValueError where it is larger than allowed."""
+    """Return the decompressed bytes; raise ValueError if they exceed the limit."""
     unpacking = zlib.decompressobj()
     body = unpacking.decompress(packed, c.MAX_RECORDS_BYTES)
     if not unpacking.eof:
-        raise ValueError("cut off, or too large")
+        raise ValueError("compressed data is truncated or too large")
     return body
 
 
@@ -151,5 +156,5 @@
     key, revision, value = item
     is_valid = type(key) is str and type(revision) is int and revision > 0
     if not is_valid or not isinstance(value, bytes | None):
-        raise ValueError("not a record")
+        raise ValueError("malformed record")
     return Record(key, revision, value)
--- a/libraries/gateway/tarragonward_gateway/record_store.py
+++ b/libraries/gateway/tarragonward_gateway/record_store.py
@@ -1,4 +1,4 @@
-"""Keep the newest record of each published item, as the source or a peer told it."""
+"""Store the newest record of each published item, from the source or from peers."""
 
 from __future__ import annotations
 
@@ -14,67 +14,74 @@
 
 @dataclass(frozen=True)
 class RecordBatch:
-    """Records of a book; where is_whole, an item that is not among them is gone."""
+    """Records of a store up to complete_revision.
+
+    is_snapshot: the batch holds all items, and any item missing from it is withdrawn.
+    """
 
     records: tuple[Record, ...]
-    complete: int
-    is_whole: bool
+    complete_revision: int
+    is_snapshot: bool
 
 
 class RecordStore:
-    """Records by key; revisions only grow, so they may come in any order, from anyone.
+    """Records by key.
 
-    complete is the revision up to which no change is missing; changed is the greatest
-    revision of a record held or of a whole reading, which peers need to have too.
+    Revisions only grow, so records may be applied in any order and from any sender.
+    complete_revision: no change up to this revision is missing. latest_revision: the
+    greatest revision of any record applied, or of a snapshot; a peer whose
+    complete_revision is lower lacks something.
     """
 
     def __init__(self) -> None:
         self._records: dict[str, Record] = {}
         self._withdrawn: dict[str, int] = {}
-        self._forgotten = 0
-        self.complete = 0
-        self.changed = 0
+        self._forgotten_revision = 0
+        self.complete_revision = 0
+        self.latest_revision = 0
 
     def __len__(self) -> int:
         return len(self._records)
 
-    def take(self, portion: RecordBatch, after: int) -> list[Record]:
-        """Take in what changed after a revision; return what is new."""
-        new = [record for record in portion.records if self._put(record)]
-        if portion.is_whole:
-            new += self._withdraw_absent(portion)
-            # What came and went before this reading was never seen here, so a peer
-            # that holds it must be given all, or it would keep it for good.
-            self._forgotten = max(self._forgotten, portion.complete)
-            # What was withdrawn before it was ever seen here leaves no record. Symptom:
-            # a peer that still holds it takes this host's word for its own being whole.
-            self.changed = max(self.changed, portion.complete)
-        if portion.is_whole or after <= self.complete:
-            self._raise_complete(portion.complete)
+    def apply(self, batch: RecordBatch, after: int) -> list[Record]:
+        """Apply the changes after a revision; return the records that are new."""
+        new = [record for record in batch.records if self._store(record)]
+        if batch.is_snapshot:
+            new += self._withdraw_absent(batch)
+            # Items withdrawn before the snapshot may never have been seen here. A peer
+            # that has one must be sent a snapshot too, or it would keep it for good.
+            self._forgotten_revision = max(
+                self._forgotten_revision, batch.complete_revision
+            )
+            # Such items leave no record here. Without this, a peer that still has one
+            # would conclude from the equal latest_revision that it is up to date.
+            self.latest_revision = max(self.latest_revision, batch.complete_revision)
+        if batch.is_snapshot or after <= self.complete_revision:
+            self._raise_complete(batch.complete_revision)
         return new
 
     def get_since(self, revision: int) -> RecordBatch:
-        """Return what changed after a revision, all where that is not known."""
-        is_whole = revision < self._forgotten
-        least = 0 if is_whole else revision
+        """Return the changes after a revision, or a snapshot if they are not known."""
+        is_snapshot = revision < self._forgotten_revision
+        least = 0 if is_snapshot else revision
         records = [r for r in self._records.values() if r.revision > least]
-        if not is_whole:
+        if not is_snapshot:
             records += [
                 Record(key, gone, None)
                 for key, gone in self._withdrawn.items()
                 if gone > revision
             ]
-        return RecordBatch(tuple(records), self.complete, is_whole)
+        return RecordBatch(tuple(records), self.complete_revision, is_snapshot)
 
-    def _put(self, record: Record) -> bool:
+    def _store(self, record: Record) -> bool:
         known = self._records.get(record.key)
         if known is not None:
             revision = known.revision
         else:
-            # Not all that was withdrawn is remembered. Symptom: a record on its way
-            # since before the withdrawal brings the item back. All changes up to
-            # complete are in, so what is not held then was withdrawn since.
-            revision = max(self.complete, self._withdrawn.get(record.key, 0))
+            # Old withdrawals are forgotten, and a delayed record must not bring such an
+            # item back. All changes up to complete_revision are applied, so an item
+            # that is missing was withdrawn by then.
+            revision = max(self.complete_revision, self._withdrawn.get(record.key, 0))
         if record.revision <= revision:
             return False
         if record.value is None:
@@ -83,26 +90,28 @@
         else:
             self._withdrawn.pop(record.key, None)
             self._records[record.key] = record
-        self.changed = max(self.changed, record.revision)
+        self.latest_revision = max(self.latest_revision, record.revision)
         return True
 
-    def _withdraw_absent(self, portion: RecordBatch) -> list[Record]:
-        present = {record.key for record in portion.records}
+    def _withdraw_absent(self, batch: RecordBatch) -> list[Record]:
+        present = {record.key for record in batch.records}
         absent = [
-            Record(known.key, portion.complete, None)
+            Record(known.key, batch.complete_revision, None)
             for known in self._records.values()
-            if known.key not in present and known.revision < portion.complete
+            if known.key not in present and known.revision < batch.complete_revision
         ]
-        return [record for record in absent if self._put(record)]
+        return [record for record in absent if self._store(record)]
 
     def _raise_complete(self, revision: int) -> None:
-        before = self.complete
-        self.complete = max(self.complete, revision)
-        invariants.check(self.complete >= before, "revision_never_falls")
+        before = self.complete_revision
+        self.complete_revision = max(self.complete_revision, revision)
+        invariants.check(self.complete_revision >= before, "revision_never_falls")
 
     def _remember_withdrawn(self, record: Record) -> None:
         self._withdrawn.pop(record.key, None)
         self._withdrawn[record.key] = record.revision
         while len(self._withdrawn) > c.MAX_WITHDRAWN_RECORDS:
             oldest = next(iter(self._withdrawn))
-            self._forgotten = max(self._forgotten, self._withdrawn.pop(oldest))
+            self._forgotten_revision = max(
+                self._forgotten_revision, self._withdrawn.pop(oldest)
+            )
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -126,13 +126,13 @@
         self._in_flight: Counter[str] = Counter()
         # Targets to which this host has sent a suspect request.
         self._isolated: Counter[str] = Counter()
-        self.book = FleetUsageTracker()
+        self.usage = FleetUsageTracker()
         # Returns this host's cell for a service; without it all engines are used.
         self.get_cell: Callable[[str], Cell] | None = None
         self._prefill_callbacks: dict[
             str, dict[Callable[[EngineUsage], None], None]
         ] = {}
-        self.book.on_long_prefill.append(self._notify_prefill)
+        self.usage.on_long_prefill.append(self._notify_prefill)
         # The request rates to which targets have limited all hosts together.
         self.limits = TargetLimits(state.random)
         self.on_limit: list[Callable[[int], None]] = []
@@ -142,11 +142,11 @@
 
     def build_digest(self) -> dict[str, list[Any]]:
         """Return this host's prompts in flight for the gossip to other hosts."""
-        return self.book.build_digest(self._clock())
+        return self.usage.build_digest(self._clock())
 
     def take_digest(self, host: str, data: Any, age_seconds: float) -> None:
         """Apply another host's report of its prompts in flight."""
-        self.book.apply_digest(host, data, age_seconds, self._clock())
+        self.usage.apply_digest(host, data, age_seconds, self._clock())
 
     def choose(self, need: TargetNeed) -> SendChoice | None:
         """Choose a target and record the send; return None if no target remains."""
@@ -239,7 +239,7 @@
 
         If the suspect request crashes the target, all other work there is lost with it.
         """
-        known = self.book.get_usage(self._clock())
+        known = self.usage.get_usage(self._clock())
 
         def count(target: RegisteredTarget) -> tuple[int, int, int]:
             work = known.get(target.id)
@@ -273,12 +273,12 @@
         target = choice.target
         self._in_flight[target.id] += 1
         if choice.work is not None:
-            self.book.begin(choice.work)
+            self.usage.begin(choice.work)
         try:
             yield
         finally:
             if choice.work is not None:
-                self.book.end(choice.work)
+                self.usage.end(choice.work)
             self._in_flight[target.id] -= 1
             if not self._in_flight[target.id]:
                 del self._in_flight[target.id]
@@ -299,7 +299,7 @@
 
     def _notify_prefill(self, engines: Collection[str]) -> None:
         watched = [engine for engine in engines if engine in self._prefill_callbacks]
-        known = self.book.get_usage(self._clock()) if watched else {}
+        known = self.usage.get_usage(self._clock()) if watched else {}
         for engine in watched:
             for on_prefill in list(self._prefill_callbacks.get(engine, ())):
                 on_prefill(known.get(engine, EngineUsage()))
@@ -310,18 +310,18 @@
         choice.note_first_event(now)
         pace = choice.compute_pace(events, now)
         if pace is not None:
-            self.book.record_pass(choice.target.id, pace, now)
+            self.usage.record_pass(choice.target.id, pace, now)
 
     def note_full(self, target_id: str) -> None:
         """Record that a target had no memory for a reservation."""
-        self.book.mark_full(target_id, self._clock())
+        self.usage.mark_full(target_id, self._clock())
 
     def record_load(self, target: RegisteredTarget, text: str | None) -> None:
         """Record the load that a target reports in the header of its answer."""
         counts = [parse_count(part) for part in (text or "").split(LOAD_SEPARATOR)]
         if len(counts) != LOAD_FIELDS or counts[0] is None or counts[1] is None:
             return
-        self.book.record_request_count(target.id, counts[0] + counts[1], self._clock())
+        self.usage.record_request_count(target.id, counts[0] + counts[1], self._clock())
 
     def record_limit(self, target: RegisteredTarget, text: str | None) -> None:
         """Record the requests per second that a target's answer allows, if it does."""
@@ -345,7 +345,7 @@
         if self.get_cell is None or need.tried:
             return ready
         cell = self.get_cell(need.service)
-        self.book.announces_every_prompt = not cell.covers_fleet
+        self.usage.announces_every_prompt = not cell.covers_fleet
         if cell.covers_fleet:
             return ready
         return [target for target in ready if target.id in cell.engines] or ready
@@ -369,12 +369,12 @@
                 continue
             cell = self.get_cell(service.name)
             if not cell.covers_fleet:
-                summary |= self.book.build_summary(cell.engines, self._clock())
+                summary |= self.usage.build_summary(cell.engines, self._clock())
         return summary or None
 
     def take_summary(self, host: str, data: Any, age_seconds: float) -> None:
         """Apply a report of a host of another cell on the engines of its cell."""
-        self.book.apply_summary(data, age_seconds, self._clock())
+        self.usage.apply_summary(data, age_seconds, self._clock())
 
     def _plan(
         self, need: TargetNeed, ready: Sequence[RegisteredTarget], service: Service
@@ -390,7 +390,7 @@
         )
         by_id = {target.id: target for target in ready}
         in_cell = [target.id for target in self._restrict_to_cell(need, ready)]
-        known = self.book.get_usage(now)
+        known = self.usage.get_usage(now)
 
         def plan_among(names: Collection[str]) -> PrefillPlan | None:
             return plan_prefill(
@@ -399,7 +399,7 @@
                 known,
                 service.engine,
                 self._state.random,
-                self.book.has_fresh_hints(now),
+                self.usage.has_fresh_hints(now),
                 {name: by_id[name].failure_domain for name in names},
                 self._state.settings.failure_domain,
             )
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -51,7 +51,7 @@
 def begin(chooser, seconds):
     plan = PrefillPlan(("e1",), seconds, {"e1": seconds}, seconds, 0.0)
     work = plan.build_work(LONG, 5.0)
-    chooser.book.begin(work)
+    chooser.usage.begin(work)
     return work
 
 
@@ -75,7 +75,7 @@
     assert messages[-1] == (PROMPTS_SECTION, [FAR]) and len(messages) == 2
     gossip._resend_long_prefill([FAR])
     assert len(messages) == 2
-    chooser.book.end(work)
+    chooser.usage.end(work)
     gossip._sent_at = float("-inf")
     gossip._resend_long_prefill([FAR])
     assert len(messages) == 2
--- a/libraries/gateway/tests/test_prompts.py
+++ b/libraries/gateway/tests/test_prompts.py
@@ -226,7 +226,7 @@
     site = await make_engines(script, script)
     await site.async_ask_prompt("2000,500")
     (slow,) = [target for target in site.targets if target.seen]
-    known = site.chooser.book.get_usage(site.chooser._clock())
+    known = site.chooser.usage.get_usage(site.chooser._clock())
     assert [work.slowdown > 3 for work in known.values()] == [True]
     await site.async_ask_prompt("2000,500")
     assert len(slow.seen) == 1
--- a/libraries/gateway/tests/test_publications.py
+++ b/libraries/gateway/tests/test_publications.py
@@ -223,7 +223,7 @@
     state, task = await start(FIRST, Source(get_items()))
     await async_wait_for(lambda: state.table is not None)
     unknown = (Record("table", 9, b"new form"), Record("other", 10, b"x"))
-    task.take(RecordBatch(unknown, 10, False), 2)
+    task.apply(RecordBatch(unknown, 10, False), 2)
     assert state.table.version == 4
     assert state.metrics.get_count("tables_refused") == 1
 
@@ -232,7 +232,7 @@
     state, task = await start(FIRST, Source(get_items()))
     await async_wait_for(lambda: state.table is not None)
     late = (Record("table", 9, b"3"), Record("t/a", 1, b"false"))
-    task.take(RecordBatch(late, 9, False), 2)
+    task.apply(RecordBatch(late, 9, False), 2)
     assert state.table.version == 4
     assert state.registry.get("a").is_ready
 
@@ -250,10 +250,10 @@
     """
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
-    task.take(build_whole(6, 10), 0)
-    task.take(RecordBatch((), 20, True), 10)
+    task.apply(build_whole(6, 10), 0)
+    task.apply(RecordBatch((), 20, True), 10)
     assert len(state.registry.get_ready("s")) == 6
-    task.take(RecordBatch((Record("t/0", 21, b"true"),), 21, False), 20)
+    task.apply(RecordBatch((Record("t/0", 21, b"true"),), 21, False), 20)
     await asyncio.sleep(state.settings.bounds.drain_seconds * const.LINGER_SHARE + 0.1)
     assert [target.id for target in state.registry.get_ready("s")] == ["0"]
 
@@ -266,9 +266,9 @@
     """
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
-    task.take(build_whole(6, 10), 0)
+    task.apply(build_whole(6, 10), 0)
     task._follower._last_outage_at = read_clock()
-    task.take(RecordBatch((Record("t/0", 11, None),), 11, False), 10)
+    task.apply(RecordBatch((Record("t/0", 11, None),), 11, False), 10)
     assert len(state.registry.get_ready("s")) == 6
     await asyncio.sleep(state.settings.bounds.drain_seconds * 0.6 + 0.1)
     assert len(state.registry.get_ready("s")) == 5
@@ -277,8 +277,8 @@
 async def test_a_single_target_that_is_withdrawn_is_gone_at_once(start):
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
-    task.take(build_whole(6, 10), 0)
-    task.take(RecordBatch((Record("t/0", 11, None),), 11, False), 10)
+    task.apply(build_whole(6, 10), 0)
+    task.apply(RecordBatch((Record("t/0", 11, None),), 11, False), 10)
     assert len(state.registry.get_ready("s")) == 5
 
 
--- a/libraries/gateway/tests/test_record_exchange.py
+++ b/libraries/gateway/tests/test_record_exchange.py
@@ -32,11 +32,11 @@
 @pytest.fixture
 async def giver():
     settings = GatewaySettings("h", "d", *[ADDRESS] * 4, (), ADDRESS, Bounds())
-    book = RecordStore()
-    routes = RecordHandler(GatewayState(settings, HeaderNames(), Paths()), book)
+    record_store = RecordStore()
+    routes = RecordHandler(GatewayState(settings, HeaderNames(), Paths()), record_store)
     server = HttpServer(ADDRESS, routes.async_handle)
     await server.async_setup()
-    yield book, routes, server.address
+    yield record_store, routes, server.address
     await server.async_unload()
 
 
@@ -46,11 +46,11 @@
     Uncompressed it does not come before the host gives the peer up, and the host
     works by the table before it for as long as that lasts.
     """
-    book, routes, address = giver
+    record_store, routes, address = giver
     table = Record("table", 7, build_table())
-    book.take(RecordBatch((table,), 7, True), 0)
+    record_store.apply(RecordBatch((table,), 7, True), 0)
     given = await async_pull_records(address, 0)
-    assert given.portion.records == (table,)
+    assert given.batch.records == (table,)
     assert len(routes._pack(0)) < len(table.value) / 2
 
 
--- a/libraries/gateway/tests/test_record_store.py
+++ b/libraries/gateway/tests/test_record_store.py
@@ -56,12 +56,12 @@
         return RecordBatch(events, self.revision, False)
 
 
-def fill(book, source, rng):
-    after = book.complete
-    portion = source.watch(after) if after and rng.random() < 0.8 else None
-    if portion is None:
-        portion = source.read_pages() if rng.random() < 0.5 else source.read_all()
-    book.take(portion, after)
+def fill(record_store, source, rng):
+    after = record_store.complete_revision
+    batch = source.watch(after) if after and rng.random() < 0.8 else None
+    if batch is None:
+        batch = source.read_pages() if rng.random() < 0.5 else source.read_all()
+    record_store.apply(batch, after)
 
 
 @pytest.mark.parametrize("seed", range(200))
@@ -74,46 +74,54 @@
     monkeypatch.setattr(const, "MAX_WITHDRAWN_RECORDS", 4)
     rng = random.Random(seed)
     source = Source(rng)
-    books = [RecordStore() for _ in range(4)]
-    seen = [{} for _ in books]
+    record_stores = [RecordStore() for _ in range(4)]
+    seen = [{} for _ in record_stores]
     late = []
     for _ in range(300):
         source.change()
         if rng.random() < 0.05:
             source.dropped = source.revision
         number = rng.randrange(4)
-        book, other = books[number], books[rng.randrange(4)]
+        record_store, other = record_stores[number], record_stores[rng.randrange(4)]
         act = rng.random()
         if act < 0.3:
-            fill(book, source, rng)
+            fill(record_store, source, rng)
         elif act < 0.6:
-            late.append((number, book.complete, other.get_since(book.complete)))
+            late.append(
+                (
+                    number,
+                    record_store.complete_revision,
+                    other.get_since(record_store.complete_revision),
+                )
+            )
         elif late:
-            to, after, portion = late.pop(rng.randrange(len(late)))
-            books[to].take(portion, after)
-        for held, known in zip(books, seen, strict=True):
+            to, after, batch = late.pop(rng.randrange(len(late)))
+            record_stores[to].apply(batch, after)
+        for held, known in zip(record_stores, seen, strict=True):
             for record in held.get_since(0).records:
                 assert record.revision >= known.get(record.key, 0)
                 known[record.key] = record.revision
-    for book in books:
-        after = book.complete
-        book.take(source.watch(after) or source.read_all(), after)
-        held = {r.key: r for r in book.get_since(0).records if r.value is not None}
+    for record_store in record_stores:
+        after = record_store.complete_revision
+        record_store.apply(source.watch(after) or source.read_all(), after)
+        held = {
+            r.key: r for r in record_store.get_since(0).records if r.value is not None
+        }
         assert held == source.items
 
 
 def test_a_peer_that_was_away_long_is_given_all(monkeypatch):
     """A withdrawal that nobody remembers is seen only by what a whole book lacks."""
     monkeypatch.setattr(const, "MAX_WITHDRAWN_RECORDS", 1)
-    book, away = RecordStore(), RecordStore()
+    record_store, away = RecordStore(), RecordStore()
     first = tuple(Record(f"k{n}", n + 1, b"x") for n in range(3))
-    for holder in (book, away):
-        holder.take(RecordBatch(first, 3, True), 0)
+    for holder in (record_store, away):
+        holder.apply(RecordBatch(first, 3, True), 0)
     gone = (Record("k0", 4, None), Record("k1", 5, None))
-    book.take(RecordBatch(gone, 5, False), 3)
-    portion = book.get_since(away.complete)
-    assert portion.is_whole
-    away.take(portion, away.complete)
+    record_store.apply(RecordBatch(gone, 5, False), 3)
+    batch = record_store.get_since(away.complete_revision)
+    assert batch.is_snapshot
+    away.apply(batch, away.complete_revision)
     assert [r.key for r in away.get_since(0).records if r.value] == ["k2"]
 
 
@@ -122,12 +130,12 @@
 
     A record of before it, from another peer, comes later and must change nothing.
     """
-    book = RecordStore()
-    book.take(RecordBatch((), 3, True), 0)
-    book.take(RecordBatch((Record("k", 9, None),), 9, False), 7)
-    assert book.complete == 3
-    book.take(RecordBatch((Record("k", 8, b"x"),), 8, False), 7)
-    assert [r.key for r in book.get_since(0).records if r.value] == []
+    record_store = RecordStore()
+    record_store.apply(RecordBatch((), 3, True), 0)
+    record_store.apply(RecordBatch((Record("k", 9, None),), 9, False), 7)
+    assert record_store.complete_revision == 3
+    record_store.apply(RecordBatch((Record("k", 8, b"x"),), 8, False), 7)
+    assert [r.key for r in record_store.get_since(0).records if r.value] == []
 
 
 def test_a_peer_of_one_that_read_all_learns_that_it_lacks_a_withdrawal():
@@ -137,6 +145,6 @@
     were the same, and took the other's confirmed word for its own.
     """
     held, started = RecordStore(), RecordStore()
-    held.take(RecordBatch((Record("t/a", 1, b""), Record("t/b", 2, b"")), 2, True), 0)
-    started.take(RecordBatch((Record("t/b", 2, b""),), 3, True), 0)
-    assert started.changed > held.complete
+    held.apply(RecordBatch((Record("t/a", 1, b""), Record("t/b", 2, b"")), 2, True), 0)
+    started.apply(RecordBatch((Record("t/b", 2, b""),), 3, True), 0)
+    assert started.latest_revision > held.complete_revision
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -102,7 +102,7 @@
 
 def take(publications, *records):
     newest = max(record.revision for record in records)
-    publications.take(RecordBatch(records, newest, False), 0)
+    publications.apply(RecordBatch(records, newest, False), 0)
     return [target.name for target in publications._state.registry.get_ready("s")]
 
 
