--- a/libraries/requests/tarragonward_requests/__init__.py
+++ b/libraries/requests/tarragonward_requests/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions, without I/O, about model requests and non-idempotent calls."""
+"""Decision logic without I/O for model requests, forwarded requests and calls."""
 
 from .events import EventStreamSplitter, StreamEvent
 from .exchange import (
--- a/libraries/requests/tarragonward_requests/keys.py
+++ b/libraries/requests/tarragonward_requests/keys.py
@@ -1,4 +1,4 @@
-"""Make and check the keys of non-idempotent calls, which name their owner."""
+"""Mint and verify the keys of non-idempotent calls; a key names its owner."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True)
 class CallKey:
-    """A key: the owner's identity, the time its prefix was minted, and the whole text.
+    """A parsed key: its owner, the time its prefix was minted, and its text.
 
-    minted_at is in whole seconds of the owner's monotonic clock; only the owner
-    compares it, so no other clock and no jump of the wall clock matters.
+    minted_at is in whole seconds of the owner's monotonic clock. Only the owner
+    compares it, so neither clock skew between hosts nor jumps of the wall clock matter.
     """
 
     owner: HostIdentity
@@ -28,10 +28,10 @@
 
 
 def mint_key_prefix(owner: HostIdentity, minted_at: int, secret: bytes) -> str:
-    """Return a prefix that names the owner and that only a host can have made.
+    """Return a prefix that names the owner, authenticated by the hosts' shared key.
 
-    A caller that could write prefixes itself could make hosts connect to any address,
-    so the prefix carries a MAC under the hosts' shared key.
+    A caller that could forge prefixes could make hosts connect to any address, so the
+    prefix carries a MAC.
     """
     body = f"{owner}@{minted_at:x}"
     encoded = base64.urlsafe_b64encode(body.encode()).decode().rstrip("=")
@@ -39,11 +39,13 @@
 
 
 def parse_key(text: str, secret: bytes) -> CallKey:
-    """Return what a key says; raise RequestRefusedError where it is not ours."""
+    """Parse and verify a key; raise RequestRefusedError if it is invalid."""
     parts = text.split(".", 2)
-    # The key goes on to the target as a header, where nothing else can stand.
-    is_plain = text.isascii() and text.isprintable() and len(text) <= MAX_KEY_CHARACTERS
-    if not is_plain or len(parts) != 3 or not parts[2]:
+    # The key is forwarded to the target in a header, which allows only printable ASCII.
+    is_valid_header = (
+        text.isascii() and text.isprintable() and len(text) <= MAX_KEY_CHARACTERS
+    )
+    if not is_valid_header or len(parts) != 3 or not parts[2]:
         raise RequestRefusedError(
             ResultCode.KEY_INVALID, "A key is a prefix, a dot and the caller's part."
         )
@@ -67,5 +69,5 @@
 
 
 def get_address(key: CallKey) -> Address:
-    """Return where the key's owner listens for peers."""
+    """Return the address on which the key's owner listens for peers."""
     return key.owner.address
--- a/libraries/requests/tarragonward_requests/ledger.py
+++ b/libraries/requests/tarragonward_requests/ledger.py
@@ -1,4 +1,4 @@
-"""Decide, at its owner, what happens to a call under a key: run at most once."""
+"""Decide, on the owner of its key, how a call is run at most once."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CallState(Enum):
-    """How far a call has come at its owner."""
+    """The state of a call on its owner."""
 
     ACCEPTED = "accepted"
     SENT = "sent"
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedAnswer:
-    """What a target answered; given again, the same bytes, for each repeat."""
+    """A target's answer, replayed byte for byte to each repeat of the call."""
 
     status: int
     content_type: str
@@ -42,12 +42,12 @@
 
 @dataclass(frozen=True)
 class Wait:
-    """Decision: an earlier copy is in flight; wait for its end, then read the reply."""
+    """Decision: an earlier copy is in flight; wait for it to end, then call read()."""
 
 
 @dataclass(frozen=True)
 class Reply:
-    """Decision: answer the caller with a code and, where there is one, an answer."""
+    """Decision: answer the caller with a code and the recorded answer, if any."""
 
     code: ResultCode
     answer: RecordedAnswer | None = None
@@ -65,12 +65,12 @@
 
 
 class CallLedger:
-    """The records of one incarnation of one owner; nobody else runs its keys.
+    """Idempotency records of one incarnation of one host, the only owner of its keys.
 
-    All times are seconds of the owner's monotonic clock, minted_at too: the wall
-    clock may jump. A key takes new calls until the retention has passed since its
-    prefix was minted; a record stays until the retention has passed since its end,
-    so it is never forgotten while its key could still run.
+    All times, including minted_at, are in seconds of the owner's monotonic clock, as
+    the wall clock may jump. A key accepts a new call for the retention time after its
+    prefix was minted. A record is kept for the retention time after its call ended, so
+    it does not expire while its key could still run.
     """
 
     def __init__(
@@ -84,6 +84,7 @@
         self._max_recorded_bytes = max_recorded_bytes
         self._in_flight: dict[str, _Record] = {}
         self._ended: OrderedDict[str, _Record] = OrderedDict()
+        # Keys whose prefix was minted up to this time accept no new call.
         self._closed_through = -1.0
         self._recorded_bytes = 0
 
@@ -92,16 +93,16 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many calls have not ended."""
+        """Return the number of calls in flight."""
         return len(self._in_flight)
 
     @property
     def recorded_bytes(self) -> int:
-        """Return the bytes of the recorded answers."""
+        """Return the total size of the recorded answers in bytes."""
         return self._recorded_bytes
 
     def choose_mint_time(self, now: float) -> int:
-        """Return the mint time for a new prefix, one that takes new calls."""
+        """Return a mint time with which a new prefix accepts calls."""
         if self._closed_through == float("inf"):
             return int(now)
         return max(int(now), int(self._closed_through) + 1)
@@ -109,7 +110,7 @@
     def accept(
         self, key: str, digest: bytes, minted_at: float, now: float, deadline: float
     ) -> Send | Wait | Reply:
-        """Decide about a copy of a call that arrived, the first or a later one."""
+        """Decide what to do with a copy of a call, the first one or a repeat."""
         self._expire_records(now)
         record = self._find(key)
         if record is not None:
@@ -129,11 +130,11 @@
         return Send()
 
     def close(self) -> None:
-        """Take no new call any more, under no key; repeats are still answered."""
+        """Refuse new calls under all keys; repeats are still answered."""
         self._closed_through = float("inf")
 
     def read(self, key: str, now: float) -> Reply:
-        """Return what is known of a call, for a copy whose time to wait is over."""
+        """Return the reply to a copy that has finished waiting."""
         record = self._find(key)
         if record is None:
             return Reply(ResultCode.OUTCOME_UNKNOWN)
@@ -142,11 +143,11 @@
         return _build_reply(record)
 
     def mark_sent(self, key: str, now: float) -> bool:
-        """Write "sent" right before the first byte goes out; False forbids to send."""
+        """Mark a call as sent before its first byte is written; False forbids it."""
         record = self._in_flight.get(key)
-        # A paused process wakes past the time limit, and a repeat that looked first
-        # has already been told "not run". Symptom: the booking appears afterwards.
-        # No await stands between this check and the write, so checking here is enough.
+        # After a process pause the deadline may have passed, and a repeat may have been
+        # told "not run" already. Sent now, the call would run after that reply. No
+        # await separates this check from the write.
         if record is None or record.state is not CallState.ACCEPTED:
             return False
         if now >= record.deadline:
@@ -156,18 +157,18 @@
         return True
 
     def is_sent(self, key: str) -> bool:
-        """Tell whether a call in flight may have reached its target."""
+        """Return whether a call in flight may have reached its target."""
         record = self._in_flight.get(key)
         return record is not None and record.state is CallState.SENT
 
     def mark_refused(self, key: str) -> None:
-        """Take "sent" back: the target answered that it did not run the call."""
+        """Undo mark_sent: the target answered that it did not run the call."""
         record = self._in_flight[key]
         invariants.check(record.state is CallState.SENT, "refused_after_sent", key=key)
         record.state = CallState.ACCEPTED
 
     def record_answer(self, key: str, answer: RecordedAnswer, now: float) -> Reply:
-        """Keep the target's answer for repeats; return the reply to the first copy."""
+        """Record the target's answer for repeats; return the first copy's reply."""
         record = self._end(key, CallState.ANSWERED, ResultCode.OK, now)
         size = len(answer.body)
         if size > c.MAX_RECORDED_ANSWER_BYTES or not self._has_bytes_for(size):
@@ -178,21 +179,21 @@
         return Reply(ResultCode.OK, answer)
 
     def record_not_run(self, key: str, code: ResultCode, now: float) -> Reply:
-        """Leave a tombstone: this key did not run and never will."""
+        """Leave a tombstone: the call did not run, and its key never will."""
         record = self._in_flight.get(key)
-        was_never_sent = record is not None and record.state is CallState.ACCEPTED
-        invariants.check(was_never_sent, "not_run_only_where_never_sent", key=key)
-        if not was_never_sent:
+        has_not_run = record is not None and record.state is CallState.ACCEPTED
+        invariants.check(has_not_run, "not_run_only_where_never_sent", key=key)
+        if not has_not_run:
             return self.read(key, now)
         return _build_reply(self._end(key, CallState.NOT_RUN, code, now))
 
     def record_unknown(self, key: str, now: float) -> Reply:
-        """Note that the call may have run; it is never sent again."""
+        """End a call that may have run; it is never sent again."""
         code = ResultCode.OUTCOME_UNKNOWN
         return _build_reply(self._end(key, CallState.UNKNOWN, code, now))
 
     def record_failure(self, key: str, now: float) -> Reply:
-        """End a call, if it has not ended, whose sending broke off anywhere."""
+        """End a call whose sending failed at any point, unless it has ended already."""
         if key not in self._in_flight:
             return self.read(key, now)
         if self.is_sent(key):
@@ -222,14 +223,15 @@
         return len(self) < self._max_records and has_bytes
 
     def _has_bytes_for(self, size: int) -> bool:
-        """Tell whether size bytes fit beside what is reserved for calls in flight."""
+        """Return whether size bytes fit beside the reservations of calls in flight."""
         reserved = len(self._in_flight) * c.RESERVED_ANSWER_BYTES
         return self._recorded_bytes + size + reserved <= self._max_recorded_bytes
 
     def _refuse_when_full(self, minted_at: float, now: float) -> Reply:
-        # A refused call leaves no record. Symptom: its delayed copy runs after the
-        # caller was told "not run" and took a new key. Closing the ledger for all
-        # unknown keys of that age and older is enough, and takes one number.
+        # A refused call leaves no record, so its delayed copy could run after the
+        # caller was told "not run" and used a new key. To prevent that, the ledger is
+        # closed for all unknown keys of that age and older, which takes only one
+        # number.
         self._closed_through = max(self._closed_through, minted_at)
         wait = c.NEW_KEY_RETRY_AFTER_SECONDS
         if self._ended:
--- a/libraries/requests/tarragonward_requests/sweep.py
+++ b/libraries/requests/tarragonward_requests/sweep.py
@@ -1,4 +1,4 @@
-"""Decide which streams and reservations on engines nobody will release any more."""
+"""Find orphans: streams and reservations on engines that no host will release."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class OwnerStatus(Enum):
-    """What a look at an owner showed."""
+    """Result of a probe of an owner."""
 
     ALIVE = "alive"
     REPLACED = "replaced"
@@ -22,7 +22,7 @@
     UNREACHABLE = "unreachable"
 
 
-# How long a status must last before the owner counts as gone.
+# How long a status must persist before the owner counts as gone.
 GRACE_SECONDS = {
     OwnerStatus.REPLACED: 0.0,
     OwnerStatus.REFUSED: c.OWNER_REFUSED_GRACE_SECONDS,
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class HeldResource:
-    """A stream or reservation on an engine; owner is the text that the engine has."""
+    """A stream or reservation on an engine; owner is as reported by the engine."""
 
     target: str
     held_id: str
@@ -41,7 +41,7 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Return what tells it from all other memory held."""
+        """Return the unique key of the resource."""
         return self.target, self.held_id
 
 
@@ -54,19 +54,18 @@
 
     def update_held(
         self,
-        memory: list[HeldResource],
+        resources: list[HeldResource],
         reported: Set[str],
         now: float,
         lag: float,
     ) -> None:
-        self.first_seen = _merge_first_seen(self.first_seen, memory, reported, now)
+        self.first_seen = _merge_first_seen(self.first_seen, resources, reported, now)
         if self.status not in (OwnerStatus.REFUSED, OwnerStatus.UNREACHABLE):
             return
-        # An owner that is cut from this host may be alive and at work. Symptom of
-        # cancelling whatever it opens: its requests never end. Memory taken since it
-        # was lost from sight proves it alive, and the time until the next cancel
-        # begins anew, twice as long. Reports lag: what shows within the lag may be
-        # older than the owner's end.
+        # An owner behind a network partition may be alive. If everything that it opens
+        # were cancelled, its requests would never end. A resource taken since contact
+        # was lost proves it alive, and the grace time starts anew and is doubled.
+        # Reports lag: what appears within the lag may be older than the owner's end.
         if any(first > self.since + lag for first in self.first_seen.values()):
             self.since, self.grace_factor = now, self.grace_factor * 2
 
@@ -80,29 +79,29 @@
 
 
 class OrphanSweep:
-    """What one host knows of those who hold memory on the engines it watches.
+    """Tracks the owners of resources on the engines that this host watches.
 
-    It takes engines' reports and looks at owners, with the time in seconds, and says
-    what to cancel. A wrong cancel costs the owner a new attempt, never an answer; one
-    left out costs the engine's memory until a later sweep.
+    It takes engine reports and owner statuses with the time in seconds, and returns
+    what to cancel. A wrong cancellation costs the owner a new attempt, never an answer.
+    A missed one costs engine memory until a later sweep.
     """
 
     def __init__(self, identity: HostIdentity) -> None:
-        # How much older than its first sight a piece of memory may be: an engine's
-        # report lags, and whoever reads reports less often adds its interval.
+        # How much older a resource may be than its first report: the lag of the
+        # engine's report, plus the interval between sweeps if that is long.
         self.lag_seconds = c.ENGINE_REPORT_LAG_SECONDS
         self._identity = identity
         self._owners: dict[HostIdentity, _Owner] = {}
-        self._own_orphans_since: dict[tuple[str, str], float] = {}
+        self._orphans_first_seen: dict[tuple[str, str], float] = {}
 
     def get_owners(self) -> list[HostIdentity]:
-        """Return the other hosts that hold memory, as last reported."""
+        """Return the other hosts that hold resources, as last reported."""
         return list(self._owners)
 
     def record_owner_status(
         self, identity: HostIdentity, status: OwnerStatus, now: float
     ) -> None:
-        """Note what a look at an owner showed."""
+        """Record the result of a probe of an owner."""
         owner = self._owners.get(identity)
         if owner is not None and owner.status is not status:
             owner.status, owner.since = status, now
@@ -114,11 +113,11 @@
         active_ids: Set[str],
         now: float,
     ) -> list[HeldResource]:
-        """Note all that is held now, and return what is to be cancelled.
+        """Process engine reports and return the resources to cancel.
 
-        reported are the targets that answered; what was held on the others is taken
-        to be held still. active_ids are the ids that this host itself still reads or
-        releases.
+        reported has the targets that answered; resources on other targets are assumed
+        to be held still. active_ids has the ids that this host itself is still reading
+        or releasing.
         """
         by_owner = self._group_by_owner(held)
         own = by_owner.pop(self._identity, [])
@@ -126,12 +125,12 @@
             self._owners[identity] = _Owner(since=now)
         cancels = self._find_own_orphans(own, reported, active_ids, now)
         for identity, owner in list(self._owners.items()):
-            memory = by_owner.get(identity, [])
-            owner.update_held(memory, reported, now, self.lag_seconds)
+            resources = by_owner.get(identity, [])
+            owner.update_held(resources, reported, now, self.lag_seconds)
             if not owner.first_seen:
                 del self._owners[identity]
             elif owner.is_gone(now):
-                cancels += [m for m in memory if m.held_id not in active_ids]
+                cancels += [m for m in resources if m.held_id not in active_ids]
         return cancels
 
     def _group_by_owner(
@@ -142,28 +141,29 @@
             try:
                 identity = HostIdentity.parse(item.owner)
             except ValueError:
-                continue  # Not made by a host of this system: not ours to cancel.
+                continue  # Not created by a host of this system, so not cancelled.
             grouped.setdefault(identity, []).append(item)
         return grouped
 
     def _find_own_orphans(
         self,
-        memory: list[HeldResource],
+        resources: list[HeldResource],
         reported: Set[str],
         active_ids: Set[str],
         now: float,
     ) -> list[HeldResource]:
-        # A cancel that could not be delivered for long, by a frozen engine, is given
-        # up. Symptom: memory lost while its owner lives. What this host does not know
-        # of for some seconds is a leftover; the wait covers reports that lag.
-        orphans = [item for item in memory if item.held_id not in active_ids]
-        self._own_orphans_since = _merge_first_seen(
-            self._own_orphans_since, orphans, reported, now
+        # A cancellation that a frozen engine does not accept is abandoned after a
+        # while, which would leak memory as long as this host lives. A resource that
+        # this host has not known for some seconds is an orphan; the delay covers report
+        # lag.
+        orphans = [item for item in resources if item.held_id not in active_ids]
+        self._orphans_first_seen = _merge_first_seen(
+            self._orphans_first_seen, orphans, reported, now
         )
         return [
             item
             for item in orphans
-            if now - self._own_orphans_since[item.key] >= c.OWN_ORPHAN_GRACE_SECONDS
+            if now - self._orphans_first_seen[item.key] >= c.OWN_ORPHAN_GRACE_SECONDS
         ]
 
 
