--- a/libraries/gateway/tarragonward_gateway/following.py
+++ b/libraries/gateway/tarragonward_gateway/following.py
@@ -1,4 +1,4 @@
-"""Decide when to ask the source of publications, and when a peer."""
+"""Decide when to query the source of publications, and when a peer."""
 
 from __future__ import annotations
 
@@ -33,29 +33,30 @@
 
 @dataclass(frozen=True)
 class ReadAll:
-    """Read all that is published."""
+    """Read all published records."""
 
 
 @dataclass(frozen=True)
 class Watch:
-    """Wait for changes, seconds at most."""
+    """Watch the source for changes, for the given time at most."""
 
     seconds: float
 
 
 @dataclass(frozen=True)
 class Pause:
-    """Ask nothing for so many seconds."""
+    """Send no query for the given time."""
 
     seconds: float
 
 
 @dataclass(frozen=True)
 class SourceAnswered:
-    """The source answered; is_gap where its revision grew and no change was told.
+    """The source answered.
 
-    age_seconds is how old the answer may be: a reading takes time, and a host that
-    stood still takes an answer late.
+    is_gap is set if its revision grew without a change in the answer. age_seconds is
+    how old the answer may be: a full read takes time, and a host that was suspended
+    processes an answer late.
     """
 
     has_changes: bool
@@ -65,22 +66,26 @@
 
 @dataclass(frozen=True)
 class PageRead:
-    """The source answered with a page of a reading that goes on."""
+    """The source answered with a page of a full read that is not complete yet."""
 
 
 @dataclass(frozen=True)
 class SourceFailed:
-    """The source gave no answer that can be used."""
+    """The source gave no usable answer."""
 
 
 @dataclass(frozen=True)
 class HistoryLost:
-    """The source no longer has the changes after the book's revision."""
+    """The source no longer has the changes after this host's revision."""
 
 
 @dataclass(frozen=True)
 class PeerReported:
-    """What a peer holds; confirmed_age is since anyone it knows had an answer."""
+    """A peer reported which revision it holds.
+
+    confirmed_age is the time since the source last confirmed the peer's data, to the
+    peer itself or to a host that it heard from.
+    """
 
     name: str
     changed_revision: int
@@ -89,38 +94,38 @@
 
 @dataclass(frozen=True)
 class PeerDataApplied:
-    """A peer gave all that it holds, and it was taken in."""
+    """The records that a peer sent were applied."""
 
 
 @dataclass(frozen=True)
 class PeerPullFailed:
-    """A peer that was asked gave nothing: it gives to many, or is out of reach."""
+    """A peer sent no records: it serves too many others, or is unreachable."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class ConfirmationAged:
-    """What the host holds was last confirmed so long ago, by the source or a peer."""
+    """The age of the last confirmation of this host's data, by source or peer."""
 
     age_seconds: float
 
 
 @dataclass(frozen=True)
 class PullFromPeer:
-    """Ask a peer for what changed after the book's revision."""
+    """Ask a peer for the changes after this host's revision."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class QuerySource:
-    """Give up the watch in progress, or the pause, and ask the source now."""
+    """End the current watch or pause, and query the source now."""
 
 
 @dataclass(frozen=True)
 class MarkConfirmed:
-    """All that was published so many seconds ago is in the book."""
+    """Record that this host had all published data at the given age."""
 
     age_seconds: float
 
@@ -140,25 +145,25 @@
 
 
 class Follower:
-    """Follow the source with few calls, and the peers where it does not answer.
+    """Follow the source with few calls, and the peers while it does not answer.
 
-    Each call is priced, and one watch a host wakes for each change. So watches wait
-    long, the longer the more hosts there are, and one ends about each second.
-    A peer that holds a newer record shows a watch that died in silence.
+    Each call has a price, and each change ends one watch per host. So the more hosts
+    there are, the longer each watch lasts; one of them ends about every second. A peer
+    with a newer record reveals a watch whose connection was lost without notice.
     """
 
     def __init__(self, rng: random.Random, now: float, start_wait: float = 0.0) -> None:
         self._random = rng
         self._started_at = now
         self._must_read = True
-        # Whether the source has answered, and whether a peer gave what is held before.
         self._has_source_answered = False
+        # Whether this host's data came from a peer, before any answer of the source.
         self._has_peer_data = False
         self._was_woken = True
-        # Hosts that start at once would all read all. Symptom: the source refuses most
-        # of their calls, and a large fleet serves only seconds after its start. Those
-        # that wait, at first and after a page of many, are fed by the first; alone,
-        # they read after the wait.
+        # If all hosts of a large fleet read all records at a simultaneous start, the
+        # source refuses most calls and the fleet serves only seconds later. So hosts
+        # with a start wait let others read first, and pull from those; the wait starts
+        # again with each page of a read. Without peers they read after the wait.
         self._defers_first_read = start_wait > 0.0
         self._start_wait = start_wait
         self._pause_until = now + min(start_wait, c.SEED_ANSWER_SECONDS)
@@ -166,86 +171,89 @@
         self._behind_since: float | None = None
         self._newest_reported = 0
         self._pulled_at = float("-inf")
-        # The peers that told last of more than this host held.
+        # Peers whose last report was newer than this host's data, oldest first.
         self._peers_ahead: dict[str, None] = {}
         self._failing_since: float | None = None
         self._failed_at = float("-inf")
         self._last_outage_at = float("-inf")
         self._confirmed_at = float("-inf")
         self._has_tried_recovery = False
-        self._relies_on_others = False
+        self._relies_on_pollers = False
         self._is_watching = False
         self._is_reading = False
         self.failures = 0
 
     def choose_step(
-        self, place: PollingOrder, confirmed_age: float, now: float
+        self, order: PollingOrder, confirmed_age: float, now: float
     ) -> Step:
-        """Return what to do now; confirmed_age is that of what the host holds."""
+        """Return what to do now; confirmed_age is that of this host's data."""
         self._confirmed_at = now - confirmed_age
-        step = self._choose_step(place, confirmed_age, now)
+        step = self._choose_step(order, confirmed_age, now)
         self._is_watching = isinstance(step, Watch)
         self._is_reading = isinstance(step, ReadAll)
         return step
 
     def _choose_step(
-        self, place: PollingOrder, confirmed_age: float, now: float
+        self, order: PollingOrder, confirmed_age: float, now: float
     ) -> Step:
-        reliance_left = self._compute_reliance_left(place, confirmed_age)
-        self._relies_on_others = reliance_left > 0.0
-        if self._relies_on_others:
+        standby_wait = self._compute_standby_wait(order, confirmed_age)
+        self._relies_on_pollers = standby_wait > 0.0
+        if self._relies_on_pollers:
             self._clear_failures(now)
-            return Pause(max(reliance_left, c.STANDBY_CHECK_SECONDS))
+            return Pause(max(standby_wait, c.STANDBY_CHECK_SECONDS))
         if now < self._pause_until:
             return Pause(self._pause_until - now)
         if self._must_read:
             return ReadAll()
-        if place.standby_rank is not None or self._has_peer_data:
+        if order.standby_rank is not None or self._has_peer_data:
             return Watch(c.STANDBY_WATCH_SECONDS)
-        return Watch(self._choose_watch_seconds(place))
-
-    def _compute_reliance_left(
-        self, place: PollingOrder, confirmed_age: float
-    ) -> float:
-        """Return how much longer others ask for this host.
-
-        Its readers may be dead, frozen or cut off from it or from the source. Symptom:
-        work goes to targets that left. What was confirmed of late was so old at most,
-        whoever confirmed it, so it is enough to ask once that age is too great. The
-        first of a group asks shortly, which confirms for all that hear it, and groups
-        begin one after the other, as one that is answered confirms for all of them.
+        return Watch(self._choose_watch_seconds(order))
+
+    def _compute_standby_wait(self, order: PollingOrder, confirmed_age: float) -> float:
+        """Return how much longer this host relies on the pollers; 0.0 for a poller.
+
+        The pollers of its group may be dead, frozen or cut off from it or the source,
+        and it would then send requests to withdrawn targets. The confirmed age bounds
+        how old the data is, whichever host confirmed it, so a standby polls once that
+        age is too great. The first standby of a group uses a short watch, whose answer
+        confirms the data of all that hear of it. Groups start one after the other, as
+        one answer can serve all of them.
         """
-        if place.standby_rank is None:
+        if order.standby_rank is None:
             return 0.0
         wait = (
             c.STANDBY_POLL_AGE_SECONDS
-            + place.group_fraction * c.STANDBY_GROUP_SPREAD_SECONDS
+            + order.group_fraction * c.STANDBY_GROUP_SPREAD_SECONDS
         )
-        return wait + place.standby_rank * c.STANDBY_RANK_STEP_SECONDS - confirmed_age
+        return wait + order.standby_rank * c.STANDBY_RANK_STEP_SECONDS - confirmed_age
 
-    def _choose_watch_seconds(self, place: PollingOrder) -> float:
-        hosts = place.poller_count
-        if place.group:
+    def _choose_watch_seconds(self, order: PollingOrder) -> float:
+        hosts = order.poller_count
+        if order.group:
             wait = min(c.MAX_WATCH_SECONDS, hosts * c.POLLER_WATCH_STAGGER_SECONDS)
-            return wait * (place.rank + 1) / hosts if self._was_woken else wait
-        # A change wakes all watches at once. Symptom: they also end at once, and for
-        # seconds nobody knows whether anything is new. Places keep their ends apart.
-        slot = max(c.WATCH_STAGGER_SECONDS, c.MIN_WATCH_SECONDS / hosts)
-        slot = min(slot, c.MAX_WATCH_SECONDS / hosts)
-        return slot * (place.rank + 1 if self._was_woken else hosts)
+            return wait * (order.rank + 1) / hosts if self._was_woken else wait
+        # A change ends all watches at once. New watches of equal length would end
+        # together too, and for seconds no host would know of changes. The rank
+        # staggers them.
+        interval = max(c.WATCH_STAGGER_SECONDS, c.MIN_WATCH_SECONDS / hosts)
+        interval = min(interval, c.MAX_WATCH_SECONDS / hosts)
+        return interval * (order.rank + 1 if self._was_woken else hosts)
 
     def handle(
         self, event: FollowEvent, complete_revision: int, hosts: int, now: float
     ) -> list[FollowEffect]:
-        """Take an event; return what follows. complete is the book's revision."""
+        """Process an event and return its effects.
+
+        complete_revision is the revision up to which this host has all records.
+        """
         return _handle(event, self, complete_revision, hosts, now)
 
     def is_after_outage(self, now: float) -> bool:
-        """Return whether the source was away for a while until moments ago."""
+        """Return whether an outage of the source ended moments ago."""
         return now - self._last_outage_at < c.AFTER_OUTAGE_SECONDS
 
     def handle_answer(self, has_changes: bool, is_gap: bool, now: float) -> None:
-        """Note an answer of the source."""
+        """Process an answer of the source."""
         self._update_outage(now)
         self._was_woken = has_changes or bool(self.failures)
         self.failures = 0
@@ -257,15 +265,15 @@
         self._behind_since = None
         if not has_changes:
             return
-        # Changes come in crowds, at a start or a release, and each wakes every watch
-        # of every host: after a short pause, one call brings many.
+        # Changes come in bursts, at a start or a release, and each ends the watches of
+        # all hosts. After a short pause one call returns many of them.
         is_burst = now - self._changed_at < c.CHANGE_BURST_WINDOW_SECONDS
         pause = c.CHANGE_BURST_DELAY_SECONDS if is_burst else c.CHANGE_DELAY_SECONDS
         self._pause_until = now + pause
         self._changed_at = now
 
     def handle_page(self, complete_revision: int, now: float) -> None:
-        """Note a page of a reading that goes on: the source answers again."""
+        """Process a page of an unfinished read, which shows that the source answers."""
         if self._defers_first_read and not complete_revision:
             self._wait_for_peers(now)
         self._update_outage(now)
@@ -274,13 +282,13 @@
         self._has_tried_recovery = False
 
     def handle_failure(self, complete_revision: int, hosts: int, now: float) -> None:
-        """Note a failed call, and wait longer the more hosts ask."""
+        """Process a failed call; the more hosts there are, the longer the back-off."""
         if self._failing_since is None:
             self._failing_since = now
         self._failed_at = now
-        # A watch goes on from a revision. Where the history after it was dropped
-        # with the watch, a new one waits in silence until the next change. Symptom:
-        # a table that was replaced is used for seconds. Reading all sees any change.
+        # A watch continues from a revision. If the source has dropped the history after
+        # it, a new watch returns nothing until the next change, and a replaced table
+        # stays in use for seconds. A full read finds any change.
         self._must_read = True
         limit = c.SOURCE_RETRY_MAX_SECONDS
         if complete_revision:
@@ -292,12 +300,13 @@
         self._update_outage(now)
 
     def check_watch(self, confirmed_age: float) -> list[FollowEffect]:
-        """Give up a watch that nobody's word speaks for.
+        """Abandon the watch if no host has confirmed this host's data for too long.
 
-        A watch may get no answer ever, though the source answers others again.
-        Symptom: a host whose peers are as deaf, or cut off, works by what was replaced
-        until its watch ends, up to 12 s later. In a fleet in order some host's watch
-        ends each 1.3 s and its word reaches all, so an old word shows the deaf.
+        A watch may never be answered although the source answers others again. A host
+        whose peers have the same problem, or are cut off, would use replaced data until
+        its watch ends, up to 12 s later. In a healthy fleet some host's watch ends
+        every WATCH_STAGGER_SECONDS and confirms the data of all, so an old
+        confirmation reveals the fault.
         """
         if confirmed_age <= c.MAX_CONFIRMED_AGE_SECONDS or not self._is_watching:
             return []
@@ -306,17 +315,16 @@
         return [QuerySource()]
 
     def handle_history_lost(self) -> None:
-        """Note that all must be read anew."""
+        """Request a full read."""
         self._must_read = True
 
     def handle_peer_data(self, complete_revision: int) -> None:
-        """Note that a peer gave what it holds, up to a revision.
+        """Process records from a peer, which may replace the first full read.
 
-        A host that starts would read all that it was given once more. Symptom: a
-        fleet of hundreds that starts asks the source for thousands of pages, is
-        refused most of them, and serves late. A short watch from the revision given
-        is enough: it brings what changed since, and where the source no longer has
-        that, its answer shows it and all is read.
+        If each starting host read again what a peer sent, a fleet of hundreds would
+        request thousands of pages, be refused most of them, and serve late. A short
+        watch from the received revision is enough: it returns later changes, and if the
+        source no longer has those, its answer shows that and causes a full read.
         """
         if self._has_source_answered or self.failures or not complete_revision:
             return
@@ -326,16 +334,16 @@
     def handle_peer_report(
         self, report: PeerReported, complete_revision: int, now: float
     ) -> list[FollowEffect]:
-        """Compare with what a peer holds."""
+        """Compare this host's data with what a peer holds."""
         effects: list[FollowEffect] = []
         if self._defers_first_read and not complete_revision:
-            # Only where a peer answers is anyone there to wait for. Symptom, after a
-            # loss of power: hosts wait for seeds that start later than they do.
+            # The full start wait applies only once a peer has been heard. After a power
+            # loss hosts would otherwise wait for seeds that start later than they do.
             start_until = self._started_at + self._start_wait
             self._pause_until = max(self._pause_until, start_until)
         if self._newest_reported <= complete_revision:
-            # Only what this host holds ends its being behind: peers that hold less
-            # tell nothing about it.
+            # Only this host's own revision shows that it has caught up; reports of
+            # peers with older data do not.
             self._behind_since = None
         self._peers_ahead.pop(report.name, None)
         if report.changed_revision <= complete_revision:
@@ -356,9 +364,9 @@
     ) -> list[FollowEffect]:
         if self._behind_since is None:
             self._behind_since = now
-        # Its own watch most often brings a host the same a moment later.
+        # Usually the host's own watch returns the same change a moment later.
         grace = c.BEHIND_GRACE_SECONDS if complete_revision else 0.0
-        if self.failures or self._relies_on_others:
+        if self.failures or self._relies_on_pollers:
             grace = 0.0
         is_early = now - self._behind_since < grace
         if is_early or now - self._pulled_at < c.PEER_PULL_INTERVAL_SECONDS:
@@ -367,8 +375,9 @@
         effects: list[FollowEffect] = [PullFromPeer(name)]
         if not complete_revision:
             self._wait_for_peers(now)
-        # A host that is fed and stays behind is confirmed by nobody, and asks for that.
-        if complete_revision and not self.failures and not self._relies_on_others:
+        # A standby needs no query here: while it stays behind, nothing confirms its
+        # data, and it polls once that is too old.
+        if complete_revision and not self.failures and not self._relies_on_pollers:
             self._must_read = True
             effects += self._query_source()
         return effects
@@ -381,12 +390,12 @@
     def handle_pull_failure(
         self, name: str, complete_revision: int, now: float
     ) -> list[FollowEffect]:
-        """Ask another peer that holds more, once one has given nothing.
+        """Ask another peer with newer data after one has sent no records.
 
-        All that start, or hear of one change, ask the few that hold it, and each of
-        them gives to a few at a time. Symptom, where the next word of a peer is waited
-        for: most of a large fleet has no table for another second, or works by the one
-        before it.
+        Hosts that start, or hear of a change, all ask the few peers that have the data,
+        and each of those serves a few hosts at a time. If hosts waited for the next
+        report instead, most of a large fleet would have no table, or the previous one,
+        for another second.
         """
         if self._newest_reported <= complete_revision:
             return []
@@ -397,17 +406,17 @@
         return [PullFromPeer(self._random.choice(others or [name]))]
 
     def _query_source(self) -> list[FollowEffect]:
-        """Ask the source at once, unless it is being read.
+        """Query the source at once, unless a full read is in progress.
 
-        A large table takes its time on the host's link, and peers that are ahead say so
-        five times a second. Symptom, where each word begins the reading anew: it never
-        ends, and the host, and all that it feeds, work by the table before it. What
-        the reading misses as it began too soon shows by the next word after its end.
+        A large table takes time on the host's link, and peers that are ahead report it
+        five times a second. If each report restarted the read, it would never end, and
+        the host and its standbys would keep the previous table. Changes that the read
+        misses because it started too early show in the next report after its end.
         """
         return [] if self._is_reading else [QuerySource()]
 
     def _wait_for_peers(self, now: float) -> None:
-        """Leave the source to others while peers may give what they have read."""
+        """Do not query the source while peers may send what they have read."""
         longest_wait = self._started_at + c.MAX_START_WAIT_SECONDS
         pause_until = min(now + c.START_PULL_WAIT_SECONDS, longest_wait)
         self._pause_until = max(self._pause_until, pause_until)
@@ -418,16 +427,16 @@
         return bool(self.failures) and is_newer and not self._has_tried_recovery
 
     def _clear_failures(self, now: float) -> None:
-        """Forget the failures of a host that is fed again."""
+        """Reset the failures, as the pollers keep this host's data fresh again."""
         self._update_outage(now)
         self._failing_since = None
         self._has_tried_recovery = False
         self.failures = 0
 
     def _update_outage(self, now: float) -> None:
-        # A host may be the only one that the source does not reach. Symptom, were that
-        # an outage: it takes what its peers tell it has left for what has lapsed, and
-        # uses it past the drain's bound. What peers confirm shows that all others hear.
+        # Failures of this host alone are no outage of the source, as long as peers
+        # confirm its data. Otherwise it would take withdrawn targets for expired ones,
+        # and use them beyond the drain time.
         since = self._failing_since
         is_long = since is not None and now - since > c.MIN_OUTAGE_SECONDS
         if is_long and now - self._confirmed_at > c.MAX_CONFIRMED_AGE_SECONDS:
@@ -442,7 +451,7 @@
     hosts: int,
     now: float,
 ) -> list[FollowEffect]:
-    raise TypeError(f"not an event: {event!r}")
+    raise TypeError(f"unknown event: {event!r}")
 
 
 @_handle.register
