--- a/libraries/gateway/tarragonward_gateway/peers.py
+++ b/libraries/gateway/tarragonward_gateway/peers.py
@@ -1,4 +1,4 @@
-"""Tell the other hosts hints over UDP, and hear theirs."""
+"""Exchange hints with the other hosts over UDP."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 
 SectionBuilder = Callable[[], Any]
 SectionHandler = Callable[[str, Any, float], None]
-# What reading another version's or a spoiled section may raise.
 TASK_NAME = "peers"
+# What processing a section of another version, or a corrupt one, may raise.
 SECTION_ERRORS = (ArithmeticError, AttributeError, LookupError, TypeError, ValueError)
 
 
 class Peers(asyncio.DatagramProtocol):
-    """The other hosts as this one knows them, and the datagrams between them.
+    """The other hosts that this one knows, and the datagrams between them.
 
-    All that is told is a hint: it may be lost, doubled or old, and costs speed, never
-    a promise. Sections are what other parts of the host tell each other.
+    Datagrams carry hints only: they may be lost, duplicated or outdated, which may cost
+    speed but never breaks a guarantee. Other components exchange data in sections.
     """
 
     def __init__(self, state: GatewayState) -> None:
@@ -77,29 +77,30 @@
     def add_section(
         self, name: str, build: SectionBuilder, handle: SectionHandler
     ) -> None:
-        """Tell peers what build() returns, and give take() what they tell.
+        """Send peers what build() returns, and pass their sections to handle().
 
-        build returns data for msgpack, or None for nothing now. take gets the peer's
-        name, the data, and its age in seconds beyond the usual delay; the data comes
-        from the network and must be checked: what it raises counts as malformed.
+        build returns data for msgpack, or None to send nothing now. handle gets the
+        peer's name, the data, and its age in seconds beyond the usual delay. The data
+        comes from the network and must be checked; SECTION_ERRORS that handle raises
+        count as a malformed section.
         """
         self._sections[name] = (build, handle)
 
     def apply_settings(self) -> None:
-        """Take over the seeds of changed settings."""
+        """Apply the seeds of changed settings."""
         self.members.set_seeds(self._get_gossip_addresses(self._state.settings.seeds))
 
     def get_names(self) -> tuple[str, ...]:
-        """Return the names of the peers that were heard, leaving ones left out."""
+        """Return the names of the peers that were heard, without leaving ones."""
         peers = self.members.get_peers()
         return tuple(peer.name for peer in peers if peer.name and not peer.is_leaving)
 
     def count_sharing_hosts(self) -> int:
-        """Return how many hosts what all share is divided by, never too few."""
+        """Return by how many hosts shared limits are divided, never too few."""
         return self.members.get_max_host_count(read_clock())
 
     def get_host_view(self) -> HostView:
-        """Return the hosts that this one knows, as they were moments ago."""
+        """Return the hosts that this one knows, refreshed at a fixed interval."""
         now = read_clock()
         if now - self._host_view_at >= c.HOST_VIEW_REFRESH_SECONDS:
             known = self.members.get_known_addresses(now)
@@ -112,7 +113,7 @@
         return self._host_view
 
     def get_control_address(self, name: str) -> Address | None:
-        """Return where a peer is asked over TCP; ports are the same on all hosts."""
+        """Return a peer's address for TCP requests; ports are alike on all hosts."""
         for peer in self.members.get_peers():
             if peer.name == name:
                 address = peer.identity.address
@@ -120,7 +121,7 @@
         return None
 
     async def async_setup(self) -> None:
-        """Listen, and begin to greet the seeds."""
+        """Listen, and start to greet the seeds."""
         address = self._state.settings.peers
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
@@ -129,16 +130,16 @@
         self._background.start(TASK_NAME, self._async_run_rounds)
 
     async def async_unload(self) -> None:
-        """Tell the peers that this host leaves, and stop."""
+        """Notify the peers that this host leaves, and stop."""
         await self._background.async_unload()
         if self._transport is not None:
             self.set_leaving()
             self._transport.close()
 
     def send_now(self, is_urgent: bool = False) -> None:
-        """Tell the mates what the sections hold without waiting for the round.
+        """Send all sections to the cell peers without waiting for the next round.
 
-        is_urgent: also where the rounds can't pay for it soon.
+        is_urgent: also if the budget of the rounds does not allow it soon.
         """
         data = self._pack(self._build_sections(), is_brief=True)
         now = read_clock()
@@ -147,37 +148,37 @@
         )
 
     def send_section_to_all(self, section: str) -> None:
-        """Tell each known peer what one section holds, whatever the rounds allow."""
+        """Send one section to each known peer, regardless of the rounds' budget."""
         data = self._pack(self._build_sections(section), is_brief=True)
         self._send_data(data, self.members.get_addresses())
 
     def send_section_to(self, section: str, addresses: Iterable[Address]) -> int:
-        """Tell the hosts at these addresses what one section holds.
+        """Send one section to the hosts at these addresses.
 
-        Return how many bytes that takes for each of them.
+        Return the size of the datagram in bytes.
         """
         data = self._pack(self._build_sections(section), is_brief=True)
         self._send_data(data, addresses)
         return len(data)
 
     def is_cell_peer(self, name: str) -> bool:
-        """Return whether a peer is among the mates."""
-        mates = self.members.get_cell_peers()
-        peers = (self.members.get_peer(address) for address in mates)
+        """Return whether a peer is one of the cell peers."""
+        addresses = self.members.get_cell_peers()
+        peers = (self.members.get_peer(address) for address in addresses)
         return any(peer is not None and peer.name == name for peer in peers)
 
     def set_cell_peers(self, addresses: Collection[Address]) -> None:
-        """Tell the hosts at these addresses all that this host does, in each round."""
+        """Set the hosts that get all sections in each round."""
         self.members.set_cell_peers(addresses)
 
     def set_leaving(self) -> None:
-        """Tell the peers now that this host takes no more."""
+        """Notify the peers now that this host accepts no more requests."""
         self.members.is_leaving = True
         peers = self.members.get_peers()
         self._send([peer.identity.address for peer in peers], with_sections=False)
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take a peer's hello and its sections; drop what is malformed."""
+        """Process a peer's hello and its sections; drop malformed datagrams."""
         try:
             hello, sections = self._unpack(data, Address(addr[0], addr[1]))
         except TarragonwardError:
@@ -189,16 +190,16 @@
         last_timestamp = known.last_timestamp if known is not None else -1
         self._apply_effects(self.members.handle(HelloReceived(hello), now))
         peer = self.members.get_peer(hello.identity.address)
-        is_late = (
+        is_stale = (
             peer is None
             or peer.identity != hello.identity
             or (known is peer and hello.timestamp <= last_timestamp)
         )
-        if not is_late:
+        if not is_stale:
             self._handle_sections(peer, hello, sections, now)
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over a peer's port that nothing listens at."""
+        """Ignore errors from a peer's port that nothing listens on."""
 
     async def _async_run_rounds(self) -> None:
         expected_at = read_clock()
@@ -208,8 +209,8 @@
             if is_paused:
                 self._report_pause(now - expected_at)
             event = RoundDue(self._full_datagram_bytes, self._brief_datagram_bytes)
-            # After a pause, views are old: this round tells only that the host is
-            # there, so that nobody takes what it knew before for fresh.
+            # After a process pause the sections are outdated. This round only shows
+            # that the host is alive, so that no peer takes its old data for fresh.
             self._apply_effects(
                 self.members.handle(event, now), with_sections=not is_paused
             )
@@ -265,7 +266,7 @@
         if self._transport is None:
             return
         for recipient in recipients:
-            # A cut or full link: hints may be lost.
+            # The link may be down or full; hints may be lost.
             with suppress(OSError):
                 self._transport.sendto(data, (recipient.host, recipient.port))
 
@@ -292,13 +293,13 @@
 
     def _unpack(self, data: bytes, sender: Address) -> tuple[Hello, dict[str, bytes]]:
         if len(data) > c.MAX_RECEIVED_DATAGRAM_BYTES:
-            raise FrameError("the datagram is too large")
+            raise FrameError("datagram exceeds the size limit")
         try:
             format_number, packed_hello, sections = msgpack.unpackb(data)
         except (ValueError, TypeError, msgpack.UnpackException) as err:
-            raise FrameError(f"not a datagram of a peer: {err}") from None
+            raise FrameError(f"datagram is not a peer's message: {err}") from None
         if format_number != c.PEER_FORMAT or not isinstance(sections, dict):
-            raise FrameError("not a datagram of a peer")
+            raise FrameError("datagram has another format or no sections")
         return Hello.unpack(sender, packed_hello), sections
 
     def _handle_sections(
