--- a/libraries/gateway/tarragonward_gateway/__init__.py
+++ b/libraries/gateway/tarragonward_gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The tasks of one entry host that forwards requests unchanged, by routes."""
+"""The tasks of an entry host that forwards requests unchanged along routes."""
 
 from .app import Gateway
 from .operators import build_log_budget
--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -1,4 +1,4 @@
-"""Put one forwarding host together, and end it in order."""
+"""Assemble one forwarding host, and shut it down in order."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 class Gateway:
-    """One entry host; async_run serves until it was told to end."""
+    """One entry host; async_run serves until a stop is requested."""
 
     def __init__(
         self,
         settings: GatewaySettings,
         reader: RecordReader,
         parser: RecordParser,
-        calls: ReservationClient,
+        reservation_client: ReservationClient,
         headers: HeaderNames | None = None,
         paths: Paths | None = None,
         settings_path: Path | None = None,
@@ -60,7 +60,7 @@
         self.peers.add_section(
             SECTION, self.targets.build_digest, self.targets.take_digest
         )
-        self.reservations = ReservationTask(self.state, calls)
+        self.reservations = ReservationTask(self.state, reservation_client)
         self.targets.get_cell = self.cells.get
         self.cell_gossip = CellGossip(self.state, self.peers, self.targets)
         self.forwarder = Forwarder(self.state, self.targets, self.reservations)
@@ -82,11 +82,11 @@
         self._stop_requested = asyncio.Event()
 
     def request_stop(self) -> None:
-        """Leave the balancer, end what is in progress, then stop."""
+        """Leave the balancer, finish the requests in progress, then stop."""
         self._stop_requested.set()
 
     async def async_run(self) -> None:
-        """Serve until told to end."""
+        """Serve until a stop is requested."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(_log_loop_exception)
         loop.add_signal_handler(signal.SIGTERM, self.request_stop)
@@ -125,17 +125,17 @@
             event_log.budget.lines_a_second = bounds.log_lines_per_second
 
     async def _async_drain(self) -> None:
-        """End what is in progress within the time that the operators give."""
+        """Finish the requests in progress within the grace time of the settings."""
         state = self.state
         state.is_draining = True
         self.peers.set_leaving()
         self.callers.close_after_answers()
         log_event("drain_started", in_flight=self.forwarder.in_flight)
-        drain_seconds = state.settings.bounds.grace_seconds - c.DRAIN_MARGIN_SECONDS
+        drain_timeout = state.settings.bounds.grace_seconds - c.DRAIN_MARGIN_SECONDS
         with suppress(TimeoutError):
-            async with asyncio.timeout(drain_seconds):
-                # The balancer sends new connections until it has asked twice.
-                await asyncio.sleep(min(c.BALANCER_NOTICE_SECONDS, drain_seconds))
+            async with asyncio.timeout(drain_timeout):
+                # The balancer sends new connections until it has made two checks.
+                await asyncio.sleep(min(c.BALANCER_NOTICE_SECONDS, drain_timeout))
                 state.is_admitting = False
                 self.callers.close_idle()
                 await self.callers.async_wait_idle()
@@ -147,7 +147,7 @@
         max_head_bytes=limits.head_bytes,
         max_body_bytes=limits.body_bytes,
         head_timeout=limits.head_seconds,
-        # The operators bound a body by its size, and by how long a caller may be idle.
+        # A body is limited by its size and by the time that a caller may be idle.
         body_timeout=limits.idle_seconds,
         idle_timeout=limits.idle_seconds,
     )
@@ -156,8 +156,9 @@
 def _log_loop_exception(
     loop: asyncio.AbstractEventLoop, context: dict[str, Any]
 ) -> None:
-    # What nobody awaits, and a listener that is out of descriptors, end up here. The
-    # loop goes on; the default would write many lines, and wait for who reads them.
+    # Called for exceptions that are never awaited, and when a listener runs out of file
+    # descriptors. The loop continues; the default handler would write many lines and
+    # block until they are read.
     log_event(
         "loop_exception",
         level=logging.ERROR,
--- a/libraries/gateway/tarragonward_gateway/clock.py
+++ b/libraries/gateway/tarragonward_gateway/clock.py
@@ -1,4 +1,4 @@
-"""Read the clock that ages are told by."""
+"""Read the clock that ages are measured with."""
 
 from __future__ import annotations
 
@@ -8,15 +8,14 @@
 
 
 def read_clock() -> float:
-    """Return seconds on a clock that only grows, and also while the host sleeps.
+    """Return seconds on a monotonic clock that also counts while the host is suspended.
 
-    The loop's clock stands still while a host is suspended. Symptom: what was heard
-    before the pause counts as just heard. This clock counts the pause, and does not
-    follow the time of day when that jumps.
+    The event loop's clock stops during a suspension, so data received before it would
+    count as fresh. Unlike the time of day, this clock does not jump.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def read_suspended_seconds() -> float:
-    """Return how many seconds the host was suspended since it booted."""
+    """Return how many seconds the host has been suspended since boot."""
     return read_clock() - time.clock_gettime(time.CLOCK_MONOTONIC)
--- a/libraries/gateway/tarragonward_gateway/health.py
+++ b/libraries/gateway/tarragonward_gateway/health.py
@@ -1,4 +1,4 @@
-"""Answer the balancer's question whether this host takes new connections."""
+"""Answer the balancer's health checks."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class HealthRoutes:
-    """The one path of the health address."""
+    """Serve the single path of the health address."""
 
     def __init__(self, state: GatewayState) -> None:
         self._state = state
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the host knows where requests go, and stays."""
+        """Return whether the host has a table and targets and is not draining."""
         state = self._state
         return (
             state.table is not None
--- a/libraries/gateway/tarragonward_gateway/operators.py
+++ b/libraries/gateway/tarragonward_gateway/operators.py
@@ -1,4 +1,4 @@
-"""Serve metrics and suspects to the operators, and keep the log within its budget."""
+"""Serve metrics and suspects to the operators, and report dropped log lines."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 
 
 def build_log_budget(lines_per_second: float) -> LineBudget:
-    """Return the budget of a host's log."""
+    """Return the rate limit of a host's log."""
     return LineBudget(lines_per_second, c.LOG_BURST_LINES)
 
 
 class OperatorsTask:
-    """The metrics address, where the settings name one, and the log's count of drops.
+    """The metrics server, if the settings name its address, and the log's drop count.
 
-    `GET /suspects` lists the requests that targets ended under; `DELETE` of one,
-    by its fingerprint, lets it be sent again, at all hosts.
+    `GET /suspects` lists the requests during which targets crashed; `DELETE` of one, by
+    its fingerprint, allows all hosts to send it again.
 
-    An address that can't be had is logged, and the host serves without it: nothing that
-    operators ask for may cost a caller its answer.
+    If the address cannot be bound, the error is logged and the host serves without it:
+    a fault of operators' tools must not affect callers.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         return self._server
 
     async def async_setup(self) -> None:
-        """Begin to serve."""
+        """Start the server and the reports of dropped lines."""
         self._background.start(TASK_NAME, self._async_report_dropped_lines)
         if self._server is None:
             return
@@ -91,7 +91,7 @@
             self._server = None
 
     async def async_unload(self) -> None:
-        """End serving."""
+        """Stop the server and the reports."""
         await self._background.async_unload()
         if self._server is not None:
             await self._server.async_unload()
@@ -113,7 +113,7 @@
             await responder.async_send_error(ResultCode.UNKNOWN_ROUTE)
 
     def _lift_suspect(self, path: str) -> bool:
-        """Let a request be sent again; return whether there was such a one."""
+        """Allow a suspect request to be sent again; return whether it was known."""
         route, _, name = path.rpartition("/")
         if route != c.ROUTE_SUSPECTS:
             return False
--- a/libraries/gateway/tarragonward_gateway/ports.py
+++ b/libraries/gateway/tarragonward_gateway/ports.py
@@ -1,4 +1,4 @@
-"""Define what the gateway needs of the platform that it runs on."""
+"""Define the interfaces between the gateway and the platform that it runs on."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class HeaderNames:
-    """The header names towards callers and targets, in lower case."""
+    """The names of the headers exchanged with callers and targets, in lower case."""
 
     request_id: str = "x-request-id"
     deadline_ms: str = "x-time-limit-ms"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Paths:
-    """The paths that the platform and the targets are asked at."""
+    """The paths of requests from the platform and to the targets."""
 
     health: str = "/health"
     report: str = "/report"
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Record:
-    """A published item as it was at a revision; a value of None: it was withdrawn."""
+    """A published item at a revision; its value is None once it was withdrawn."""
 
     key: str
     revision: int
@@ -64,9 +64,9 @@
 
 @dataclass(frozen=True)
 class Records:
-    """Items, and the source's revision that they are complete up to.
+    """Items, and the source's revision up to which they are complete.
 
-    age_seconds is how long ago the source gave them: a large answer takes its time.
+    age_seconds is how long ago the source sent them: a large answer takes time.
     """
 
     records: tuple[Record, ...]
@@ -76,7 +76,10 @@
 
 @dataclass(frozen=True)
 class Page:
-    """Some of all items by key, at a revision; next_after is None on the last page."""
+    """A page of all items in the order of keys, at a revision.
+
+    next_after is the key to continue after, None on the last page.
+    """
 
     records: tuple[Record, ...]
     revision: int
@@ -84,46 +87,46 @@
 
 
 class SourceError(TarragonwardError):
-    """Report that the source of publications gave no answer that can be used."""
+    """Report that the source of publications gave no usable answer."""
 
 
 class HistoryLostError(SourceError):
-    """Report that the source no longer has the changes asked for: read all anew."""
+    """Report that the source lacks the requested changes: a full read is needed."""
 
 
 class RecordReader(Protocol):
-    """Reads what is published; raises SourceError where the source is silent.
+    """Reads published items; raises SourceError if the source does not answer.
 
     silence_timeout is for how many seconds the source may send nothing, before its
-    answer and within it; an answer that keeps coming is waited for.
+    answer or within it; an answer that keeps arriving is not cut off.
     """
 
     async def async_read_page(self, after: str, silence_timeout: float) -> Page:
-        """Return the items whose keys follow a key, the first ones where it is empty.
+        """Return the items after a key, the first ones if the key is empty.
 
-        Pages are no snapshot: each is as of its own revision.
+        Pages are no common snapshot: each has its own revision.
         """
 
     async def async_watch(
         self, after: int, wait: float, silence_timeout: float
     ) -> Records:
-        """Return what changed after a revision, or nothing after wait seconds.
+        """Return the changes after a revision, or none after wait seconds.
 
-        The source may be silent for silence_timeout beyond the wait.
+        The source may be silent for silence_timeout longer than the wait.
         """
 
 
 class RecordParser(Protocol):
-    """Turns published items into the product's own data."""
+    """Parses published items into routing tables and targets."""
 
     def is_table(self, key: str) -> bool:
         """Return whether the routing table is published under a key."""
 
     def parse_table(self, record: Record) -> RoutingTable | None:
-        """Return the routing table of a record, None where it holds none."""
+        """Return the routing table of a record, None if it has none."""
 
     def parse_target(self, record: Record) -> RegisteredTarget | None:
-        """Return the target that a record registers, None where it holds none."""
+        """Return the target that a record registers, None if it registers none."""
 
     def get_target_name(self, key: str) -> str | None:
         """Return the name of the target that a key belongs to, None for other keys."""
@@ -131,7 +134,7 @@
 
 @dataclass(frozen=True)
 class Reservation:
-    """Memory of a target that is to be held under an id; a renewal is the same."""
+    """Memory of a target to reserve under an id; renewals use the same values."""
 
     id: str
     target: RegisteredTarget
@@ -141,19 +144,22 @@
 
 @dataclass(frozen=True)
 class ReservationAnswer:
-    """What a target says of a reservation; incarnation where it tells which boot."""
+    """A target's answer to a reservation.
+
+    incarnation identifies the target's boot, None if the target does not tell it.
+    """
 
     is_held: bool
     incarnation: int | None = None
 
 
 class ReservationClient(Protocol):
-    """Orders to targets; raises TargetError where no answer came."""
+    """Reserves and releases memory of targets; raises TargetError without an answer."""
 
     async def async_reserve(
         self, reservation: Reservation, timeout: float
     ) -> ReservationAnswer:
-        """Hold or renew a reservation; return the target's answer."""
+        """Make or renew a reservation; return the target's answer."""
 
     async def async_release(self, reservation: Reservation, timeout: float) -> bool:
-        """End a reservation; return whether the target has said that it is ended."""
+        """End a reservation; return whether the target confirmed the end."""
--- a/libraries/gateway/tarragonward_gateway/reload.py
+++ b/libraries/gateway/tarragonward_gateway/reload.py
@@ -1,4 +1,4 @@
-"""Take over changed settings while the host runs."""
+"""Apply changed settings while the host runs."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 __all__ = ["SettingsChange", "SettingsTask", "merge_settings"]
 
 TASK_NAME = "settings"
-# What is read from the settings at each use; all else is bound at the start.
+# Settings that are read at each use; all others are bound at the start.
 RELOADABLE_FIELDS = ("bounds", "seeds")
 
 
 @dataclass(frozen=True)
 class SettingsChange:
-    """Settings to go on with; what was taken over, and what needs a restart."""
+    """The settings in force, the changed fields applied, and those not applied."""
 
     settings: GatewaySettings
     applied: tuple[str, ...]
@@ -32,7 +32,7 @@
 
 
 def merge_settings(current: GatewaySettings, loaded: GatewaySettings) -> SettingsChange:
-    """Return what a running host makes of newly found settings."""
+    """Return what a running host can apply of newly loaded settings."""
     names = GatewaySettings.__dataclass_fields__
     changed = [n for n in names if getattr(current, n) != getattr(loaded, n)]
     applied = tuple(name for name in changed if name in RELOADABLE_FIELDS)
@@ -42,11 +42,11 @@
 
 
 class SettingsTask:
-    """Read the settings file each second, and at once when told to.
+    """Poll the settings file, and read it at once on request.
 
-    A file may change without any signal, and a signal may come before the file is
-    whole. So the bytes decide, not the signal: bytes not seen before are judged once,
-    and settings that are not valid change nothing.
+    A file may change without a signal, and a signal may arrive before the file is
+    completely written. So the content decides: each new content is validated once, and
+    invalid settings change nothing.
     """
 
     def __init__(self, state: GatewayState, path: Path | None) -> None:
@@ -58,18 +58,18 @@
         self.on_change: list[Callable[[], None]] = []
 
     async def async_setup(self) -> None:
-        """Begin to look for changes."""
+        """Start to poll the file."""
         if self._path is None:
             return
         self.check()
         self._background.start(TASK_NAME, self._async_poll)
 
     async def async_unload(self) -> None:
-        """Look no more."""
+        """Stop polling."""
         await self._background.async_unload()
 
     def request_reload(self) -> None:
-        """Read the file now, as a signal asks."""
+        """Read the file without waiting for the next poll."""
         self._reload_requested.set()
 
     async def _async_poll(self) -> None:
@@ -84,7 +84,7 @@
             self.check(is_requested)
 
     def check(self, is_requested: bool = False) -> None:
-        """Read the file and judge it if it is not as it was."""
+        """Read the file, and apply it if it changed and is valid."""
         assert self._path is not None
         try:
             data = self._path.read_bytes()
@@ -105,7 +105,7 @@
         self._apply(loaded, is_requested)
 
     def _log_unreadable(self, err: OSError, is_requested: bool) -> None:
-        # Said once: a file that is gone would else cost a line a second.
+        # Logged once: a missing file would otherwise add a line at each poll.
         if self._last_data != b"" or is_requested:
             log_event("settings_unreadable", level=logging.ERROR, error=str(err))
         self._last_data = b""
--- a/libraries/gateway/tarragonward_gateway/settings.py
+++ b/libraries/gateway/tarragonward_gateway/settings.py
@@ -1,4 +1,4 @@
-"""Read and check the settings of a forwarding entry host from a TOML file."""
+"""Load and validate the settings of a forwarding entry host from a TOML file."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """What the operators ask of every host; times in seconds."""
+    """Limits that operators set for all hosts; times in seconds."""
 
     drain_seconds: float = c.DEFAULT_DRAIN_SECONDS
     grace_seconds: float = c.DEFAULT_GRACE_SECONDS
@@ -91,7 +91,7 @@
 
 
 def load_gateway_settings(path: Path) -> GatewaySettings:
-    """Return the settings of a file; raise SettingsError where they are not valid."""
+    """Return the settings of a file; raise SettingsError if they are invalid."""
     try:
         return parse_gateway_settings(path.read_bytes())
     except (OSError, SettingsError) as err:
@@ -99,7 +99,7 @@
 
 
 def parse_gateway_settings(data: bytes) -> GatewaySettings:
-    """Return the settings that a file's bytes hold, or raise SettingsError."""
+    """Return the settings in a file's bytes; raise SettingsError if invalid."""
     try:
         checked = SCHEMA(tomllib.loads(data.decode("utf-8")))
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as err:
