--- a/libraries/placement/tarragonward_placement/__init__.py
+++ b/libraries/placement/tarragonward_placement/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions, without I/O, about where prompts run and which are admitted."""
+"""Decide, without I/O, where prompts run and which are admitted."""
 
 from .affinity import CacheUpdate, PrefixIndex, hash_blocks
 from .cells import Cell, LocatedMember, choose_cell, partition_hosts
--- a/libraries/placement/tarragonward_placement/admission.py
+++ b/libraries/placement/tarragonward_placement/admission.py
@@ -1,4 +1,4 @@
-"""Refuse at once what cannot end in time, and say when to come back."""
+"""Refuse at once what cannot finish in time, with a time to retry."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def refuse(code: ResultCode, retry_after_seconds: float, detail: str = "") -> Refused:
-    """Return a refusal whose time to come back is neither none nor endless."""
+    """Return a refusal whose time to retry is within the configured bounds."""
     seconds = max(retry_after_seconds, c.DEFAULT_RETRY_AFTER_SECONDS)
     return Refused(code, min(seconds, c.MAX_RETRY_AFTER_SECONDS), detail)
 
@@ -21,11 +21,11 @@
 def check_memory(
     request: PlacementRequest, views: Sequence[EngineView], fleet: FleetView
 ) -> Refused | None:
-    """Refuse a prompt that all the engines of a group could not hold when idle.
+    """Refuse a prompt that the largest possible group could not hold when idle.
 
-    Engines that are excluded or leaving are not in views. Symptom of judging by these
-    alone: a caller is told for good that its prompt is too long, while some engines
-    are away. Only what is published says so; the rest may come back.
+    views lacks engines that are excluded or leaving. Judged by views alone, a caller
+    would be told permanently that its prompt is too long while some engines are away.
+    So that answer is given only if all published engines could not hold it either.
     """
     room = _compute_room([view.kv_tokens for view in views])
     if request.kv_tokens <= room:
@@ -41,7 +41,7 @@
 
 
 def _compute_room(kv_tokens: Sequence[int]) -> float:
-    """Return the KV tokens that the largest group of such engines can hold."""
+    """Return the KV cache tokens that the largest group of such engines can hold."""
     largest = sorted(kv_tokens, reverse=True)[: c.MAX_GROUP_ENGINES]
     if not largest:
         return 0
@@ -51,9 +51,10 @@
 def check_time(
     request: PlacementRequest, seconds_per_token: float, ttft_seconds: float
 ) -> Refused | None:
-    """Refuse what would not have its whole answer when its time is over.
+    """Refuse a request whose whole answer would not be complete by its deadline.
 
-    The answer is taken to be as long as it may be, as none knows where it stops.
+    The answer is assumed to have its maximum length, as its end is not known in
+    advance.
     """
     answer_seconds = (request.max_tokens - 1) * seconds_per_token
     missing = ttft_seconds + answer_seconds - request.remaining_seconds
--- a/libraries/placement/tarragonward_placement/cells.py
+++ b/libraries/placement/tarragonward_placement/cells.py
@@ -1,4 +1,4 @@
-"""Divide a large fleet into cells: a few hosts that plan a few engines among them."""
+"""Divide a large fleet into cells: some hosts that plan some engines among them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class LocatedMember:
-    """A host or an engine by name, and the failure domain that it is in."""
+    """A host or an engine by name, and its failure domain."""
 
     name: str
     failure_domain: str
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True)
 class Cell:
-    """The hosts that tell each other all they do, and the engines that they use.
+    """The hosts that share all their state, and the engines that they use.
 
-    covers_fleet is set where that is the whole fleet.
+    covers_fleet is set if the cell is the whole fleet.
     """
 
     hosts: frozenset[str]
@@ -35,12 +35,13 @@
 def choose_cell(
     own: LocatedMember, hosts: Iterable[LocatedMember], engines: Iterable[LocatedMember]
 ) -> Cell:
-    """Return the cell of one host; hosts are those known to be there, it among them.
+    """Return the cell of one host; hosts are those known to be alive.
 
-    Hosts that know little of each other's prompts meet on the same engines. Symptom:
-    some engines refuse most of what they get while others idle. All hosts cannot
-    tell all others at once in a large fleet; the few of a cell can. All of it is a
-    hint: where two hosts see other members, they share an engine, and it may refuse.
+    Hosts that know little of each other's prompts collide on the same engines: some
+    engines refuse most of what they get while others idle. In a large fleet not every
+    host can notify every other at once, but the hosts of a cell can. Membership is a
+    hint: if two hosts see different members, they share an engine, which may then
+    refuse.
     """
     members = {host.name: host for host in hosts}
     members[own.name] = own
@@ -70,7 +71,7 @@
 def partition_hosts(hosts: Iterable[LocatedMember]) -> list[tuple[str, ...]]:
     """Return the hosts of each failure domain in groups of about CELL_HOSTS.
 
-    All hosts that know the same ones return the same parts, and order them alike.
+    All hosts that know the same hosts return the same groups in the same order.
     """
     domains: dict[str, list[str]] = {}
     for host in hosts:
@@ -84,17 +85,17 @@
 
 
 def _count_cells(hosts: int, engines: int) -> int:
-    """Return how many cells a failure domain has.
+    """Return the number of cells in a failure domain.
 
-    In a small cell a few long prompts, or the callers that chance gives its hosts, take
-    all engines. Symptom: its prompts are late while the engines beside it idle.
+    In a small cell, a few long prompts, or an uneven share of the callers, occupy all
+    engines: its prompts are late while engines of neighbouring cells idle.
     """
     count = round(max(hosts / c.CELL_HOSTS, engines / c.CELL_ENGINES))
     return max(1, min(count, engines // c.MIN_CELL_ENGINES))
 
 
 def _find_domain(engine: LocatedMember, domains: Sequence[str]) -> str:
-    """Return the domain whose hosts use an engine: its own, if any host is there."""
+    """Return the domain whose hosts use an engine: its own, if it has any hosts."""
     if engine.failure_domain in domains:
         return engine.failure_domain
     return domains[int.from_bytes(_hash_name(engine.name)[:4]) % len(domains)]
@@ -108,7 +109,7 @@
 
 
 def _order_by_hash(names: Iterable[str]) -> list[str]:
-    """Return names in an order that all hosts share and that mixes neighbours."""
+    """Return names in an order that all hosts share and that mixes similar names."""
     return sorted(names, key=_hash_name)
 
 
--- a/libraries/placement/tarragonward_placement/fleet.py
+++ b/libraries/placement/tarragonward_placement/fleet.py
@@ -1,4 +1,4 @@
-"""Keep what is known of the work on engines: this host's own, and hints of peers."""
+"""Track the usage of engines: this host's own requests and hints from peers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(eq=False)
 class InFlightPrompt:
-    """A prompt that this host has sent: who reads it until when, who holds it."""
+    """A prompt that this host has sent: who prefills it and who holds its memory."""
 
     leader: str
     prefill_ends_at: Mapping[str, float]
@@ -33,7 +33,7 @@
     first_event_at: float | None = None
 
     def compute_prefill_left(self, engine: str, now: float) -> float:
-        """Return the seconds that the engine still reads for this prompt."""
+        """Return the seconds of prefill that the engine still has for this prompt."""
         if self.first_event_at is not None:
             return 0.0
         left = self.prefill_ends_at[engine] - now
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True)
 class PendingPrefill:
-    """A prompt that an engine reads: until when, and when its first event is due."""
+    """A prefill on an engine: when it ends, and when its first event is due."""
 
     end_seconds: float
     aim_seconds: float
     weight: float
 
     def advance(self, seconds: float) -> PendingPrefill:
-        """Return it so many seconds later."""
+        """Return this prefill as of a later time."""
         return PendingPrefill(
             max(0.0, self.end_seconds - seconds),
             self.aim_seconds - seconds,
@@ -61,7 +61,11 @@
 
 @dataclass
 class EngineUsage:
-    """What is known to lie on one engine; weights are by pause aim in milliseconds."""
+    """The known usage of one engine.
+
+    weights are the weights of its requests, summed by the longest pause between events
+    that they tolerate, in milliseconds.
+    """
 
     decoding_requests: int = 0
     prefilling_requests: int = 0
@@ -71,16 +75,16 @@
     prefill_seconds: float = 0.0
     weights: dict[int, float] = field(default_factory=dict)
     pending_prefills: list[PendingPrefill] = field(default_factory=list)
-    # How many times as long as published the engine's passes take.
+    # Duration of the engine's passes, as a multiple of the published one.
     slowdown: float = 1.0
 
     @property
     def requests(self) -> int:
-        """Return how many places are taken."""
+        """Return the number of occupied slots."""
         return self.decoding_requests + self.prefilling_requests
 
     def add_weight(self, pause_aim: int, weight: float) -> None:
-        """Count what is lost where a pause is over the aim."""
+        """Add the weight that is lost if a pause exceeds this limit in milliseconds."""
         self.weights[pause_aim] = self.weights.get(pause_aim, 0.0) + weight
 
 
@@ -89,34 +93,34 @@
 
 @dataclass(frozen=True)
 class _PeerDigest:
-    """A peer's digest; made_at is by this host's clock."""
+    """A peer's last digest; reported_at is in this host's clock."""
 
-    made_at: float
+    reported_at: float
     engines: Mapping[str, EngineUsage]
 
 
 @dataclass(frozen=True)
 class _CellSummary:
-    """What another cell told of an engine; made_at is by this host's clock."""
+    """An engine's usage as its cell reported it; reported_at is in the host's clock."""
 
-    made_at: float
+    reported_at: float
     work: EngineUsage
 
 
 @dataclass
 class _SlowdownSamples:
-    """The paces of an engine's last passes that this host saw."""
+    """The slowdowns of an engine's last passes, as seen by this host."""
 
-    seen_at: float = 0.0
+    observed_at: float = 0.0
     values: deque[float] = field(
         default_factory=lambda: deque(maxlen=c.SLOWDOWN_SAMPLES)
     )
 
     def estimate(self) -> float:
-        """Return the engine's pace, one where it is not surely slow.
+        """Return the engine's slowdown; 1 unless it is certainly slow.
 
-        What an engine reads makes a pass longer, so the shortest ones tell its pace;
-        events that were held up on the way come together, so the very shortest not.
+        A prefill makes a pass longer, so short passes show the engine's own speed. The
+        very shortest is ignored: events that were delayed on the way arrive together.
         """
         if len(self.values) < c.MIN_SLOWDOWN_SAMPLES:
             return 1.0
@@ -126,17 +130,17 @@
 
 @dataclass(frozen=True)
 class _ReportedCount:
-    """What an engine itself counted beyond this host's own requests."""
+    """The requests of other hosts, from an engine's own count."""
 
-    seen_at: float
+    observed_at: float
     others: int
 
 
 class FleetUsageTracker:
-    """The prompts in flight by engine; peers' digests are hints, and age.
+    """The requests in flight by engine; peers' digests are hints and expire.
 
-    While no peer is heard, an engine's own count, which comes with its answers, stands
-    for what others have there.
+    While no peer is heard, the count that an engine sends with its answers stands in
+    for the requests of other hosts.
     """
 
     def __init__(self) -> None:
@@ -144,19 +148,22 @@
         self._full_until: dict[str, float] = {}
         self._slowdowns: dict[str, _SlowdownSamples] = {}
         self._own: dict[str, dict[InFlightPrompt, None]] = {}
-        # Called when peers should hear at once of a prompt, and not at their turn.
-        # With whether it is read for so long that hosts of other cells should hear.
+        # Called when peers should be notified of a prompt at once instead of in the
+        # next round; the argument is whether its prefill is long enough to notify other
+        # cells.
         self.on_change: list[Callable[[bool], None]] = []
-        # Set where rounds are too rare for short prompts: they have ended by the next.
+        # Set if rounds are too rare for short prompts, which would have ended by the
+        # next one.
         self.announces_every_prompt = False
-        # Called with engines on which this host has prompts and that read for long.
+        # Called with engines that started a long prefill while they serve prompts of
+        # this host.
         self.on_long_prefill: list[Callable[[Collection[str]], None]] = []
         self._hints: dict[str, _PeerDigest] = {}
-        # What hosts of other cells told of all work on an engine of theirs.
+        # Usage of engines of other cells, as reported by their hosts.
         self._summaries: dict[str, _CellSummary] = {}
 
     def begin(self, work: InFlightPrompt) -> None:
-        """Count a prompt on all its engines until it ends."""
+        """Track a prompt on all its engines until it ends."""
         for engine in {*work.prefill_ends_at, *work.held_tokens}:
             self._own.setdefault(engine, {})[work] = None
         if (
@@ -174,7 +181,7 @@
             notify(affected)
 
     def end(self, work: InFlightPrompt) -> None:
-        """Forget a prompt."""
+        """Stop tracking a prompt."""
         for engine in {*work.prefill_ends_at, *work.held_tokens}:
             works = self._own.get(engine, {})
             works.pop(work, None)
@@ -182,7 +189,7 @@
                 self._own.pop(engine, None)
 
     def has_long_prefill(self, now: float) -> bool:
-        """Return whether a prompt of this host is read for long yet."""
+        """Return whether a prompt of this host still has a long prefill ahead."""
         return any(
             work.compute_prefill_left(engine, now) >= c.BLOCKING_PREFILL_SECONDS
             for engine, works in self._own.items()
@@ -191,41 +198,41 @@
         )
 
     def record_request_count(self, engine: str, requests: int, now: float) -> None:
-        """Take an engine's own count of the requests that it has."""
+        """Record an engine's own count of its requests."""
         own = sum(work.leader == engine for work in self._own.get(engine, ()))
         self._counts[engine] = _ReportedCount(now, max(0, requests - own))
 
     def record_pass(self, engine: str, slowdown: float, now: float) -> None:
-        """Take a pass that took so many times as long as published."""
+        """Record the duration of a pass, as a multiple of the published one."""
         slowdowns = self._slowdowns.setdefault(engine, _SlowdownSamples())
-        slowdowns.seen_at = now
+        slowdowns.observed_at = now
         slowdowns.values.append(slowdown)
 
     def mark_full(self, engine: str, now: float) -> None:
-        """Take it that an engine has no free memory for a while."""
+        """Treat an engine as having no free memory for a while."""
         self._full_until[engine] = now + c.FULL_ENGINE_SECONDS
 
     def has_fresh_hints(self, now: float) -> bool:
         """Return whether any peer's digest is fresh."""
         return any(
-            now - hint.made_at <= c.MAX_HINT_AGE_SECONDS
+            now - hint.reported_at <= c.MAX_HINT_AGE_SECONDS
             for hint in self._hints.values()
         )
 
     def get_usage(self, now: float) -> dict[str, EngineUsage]:
-        """Return what is known of each engine that has any work."""
+        """Return the known usage of each engine that is in use."""
         known = self._get_direct_usage(now)
         self._add_summaries(known, now)
         return known
 
     def _get_direct_usage(self, now: float) -> dict[str, EngineUsage]:
-        """Return what this host knows by itself and by those who send prompts."""
+        """Return the usage known from this host and its peers, without summaries."""
         known: dict[str, EngineUsage] = {}
         reported: dict[str, list[float]] = {}
         for engine in self._own:
             self._add_own(engine, known.setdefault(engine, EngineUsage()), now)
         for host, hint in list(self._hints.items()):
-            age = now - hint.made_at
+            age = now - hint.reported_at
             if age > c.MAX_HINT_AGE_SECONDS:
                 del self._hints[host]
                 continue
@@ -248,7 +255,7 @@
         return known
 
     def build_digest(self, now: float) -> dict[str, list[Any]]:
-        """Return this host's own work for the peers, by engine."""
+        """Return this host's own requests by engine, for its peers."""
         digest = {}
         slow = self._get_slow_engines(now)
         for engine in {**self._own, **slow}:
@@ -259,11 +266,11 @@
         return digest
 
     def build_summary(self, engines: Collection[str], now: float) -> dict[str, Any]:
-        """Return all that is known of the work on some engines, for other cells.
+        """Return the known usage of some engines, for hosts of other cells.
 
-        Who reads until when is left out: it is most of the bytes. So is what other
-        summaries told: hosts that both count an engine as theirs would tell each other
-        the same work as new for good.
+        Pending prefills are left out, because they are most of the bytes. Usage from
+        other summaries is left out, because two hosts that both count an engine as
+        theirs would keep repeating the same stale usage to each other as new.
         """
         known = self._get_direct_usage(now)
         return {
@@ -274,9 +281,9 @@
         }
 
     def apply_summary(self, data: Any, age: float, now: float) -> None:
-        """Take what a host of another cell told of its engines, unless it is older.
+        """Store what a host of another cell reported of its engines, unless older.
 
-        Raise ValueError, TypeError or AttributeError where it is malformed.
+        Raise ValueError, TypeError or AttributeError if it is malformed.
         """
         reported = {
             str(engine): _CellSummary(
@@ -286,12 +293,12 @@
         }
         for engine, summary in reported.items():
             before = self._summaries.get(engine)
-            if before is None or before.made_at <= summary.made_at:
+            if before is None or before.reported_at <= summary.reported_at:
                 self._summaries[engine] = summary
 
     def _add_summaries(self, known: dict[str, EngineUsage], now: float) -> None:
         for engine, summary in list(self._summaries.items()):
-            age = now - summary.made_at
+            age = now - summary.reported_at
             if age > c.MAX_HINT_AGE_SECONDS:
                 del self._summaries[engine]
                 continue
@@ -300,36 +307,37 @@
             known[engine] = _merge_max(known.get(engine, IDLE_ENGINE), reported)
 
     def apply_digest(self, host: str, data: Any, age: float, now: float) -> None:
-        """Take a peer's digest in the place of its last one."""
+        """Replace a peer's last digest."""
         try:
             engines = {str(name): _parse_entry(entry) for name, entry in data.items()}
         except (AttributeError, TypeError, ValueError):
-            # A peer of another version; without its hint it is as if not heard.
+            # A malformed digest, possibly of another version, is treated as if not
+            # received.
             return
         before = self._hints.get(host)
         self._hints[host] = _PeerDigest(now - age, engines)
         self._notify_long_prefill(_find_new_long_prefills(engines, before))
 
     def _expire_counts(self, now: float) -> None:
-        """Drop counts that are worth nothing: engines come and go for good."""
+        """Drop expired counts: engines come and go, so they would accumulate."""
         oldest = now - c.MAX_COUNT_AGE_SECONDS
         for engine, count in list(self._counts.items()):
-            if count.seen_at < oldest:
+            if count.observed_at < oldest:
                 del self._counts[engine]
 
     def _add_counts(self, known: dict[str, EngineUsage], now: float) -> None:
         for engine, count in self._counts.items():
-            age = now - count.seen_at
+            age = now - count.observed_at
             left = round(count.others * (1 - age / c.MAX_COUNT_AGE_SECONDS))
             if left:
                 known.setdefault(engine, EngineUsage()).decoding_requests += left
 
     def _get_slow_engines(self, now: float) -> dict[str, float]:
-        """Return the paces of the engines that this host itself has seen to be slow."""
+        """Return the slowdowns of the engines that this host itself saw to be slow."""
         slow = {}
         for engine, slowdowns in list(self._slowdowns.items()):
-            # A slow engine is hardly used, so it is tried again when this is old.
-            if now - slowdowns.seen_at > c.MAX_SLOWDOWN_AGE_SECONDS:
+            # A slow engine is rarely used, so it is tried again once this expires.
+            if now - slowdowns.observed_at > c.MAX_SLOWDOWN_AGE_SECONDS:
                 del self._slowdowns[engine]
             elif (slowdown := slowdowns.estimate()) > 1:
                 slow[engine] = slowdown
@@ -356,7 +364,7 @@
 def _find_new_long_prefills(
     engines: Mapping[str, EngineUsage], before: _PeerDigest | None
 ) -> list[str]:
-    """Return the engines that read for long and did not so far."""
+    """Return the engines with a long prefill that the previous digest did not have."""
     known = before.engines if before is not None else {}
     return [
         name
@@ -367,7 +375,7 @@
 
 
 def _pack_weight(weight: float) -> int:
-    """Return a weight in tenths: a whole number takes a third of a float's bytes."""
+    """Return a weight in tenths: an integer takes a third of a float's bytes."""
     return round(weight * WEIGHT_PARTS)
 
 
@@ -378,10 +386,10 @@
 def _apply_reported_slowdowns(
     known: dict[str, EngineUsage], reported: Mapping[str, Sequence[float]]
 ) -> None:
-    """Take what several peers tell of slow engines, at the word of the last of them.
+    """Apply slowdowns that enough peers report, at the level that all of them confirm.
 
-    Each host would find out by prompts of its own, which are late there. One peer alone
-    may be slow itself, or its link.
+    Otherwise each host would have to find out with requests of its own, which would be
+    late. A single reporter does not count: the peer itself or its link may be slow.
     """
     for engine, slowdowns in reported.items():
         if len(slowdowns) >= c.MIN_SLOWDOWN_REPORTERS:
@@ -412,7 +420,7 @@
 
 
 def _merge_max(one: EngineUsage, other: EngineUsage) -> EngineUsage:
-    """Return the greater of two accounts of the work on an engine."""
+    """Return the field-wise maximum of two reports of an engine's usage."""
     aims = one.weights.keys() | other.weights.keys()
     return EngineUsage(
         max(one.decoding_requests, other.decoding_requests),
@@ -434,7 +442,7 @@
         helper_parts,
         context,
         held,
-        reading,
+        prefill_seconds,
         weights,
         pending_prefills,
         *slow,
@@ -446,7 +454,7 @@
         int(helper_parts),
         int(context) * THOUSAND,
         int(held) * THOUSAND,
-        int(reading) / MILLISECONDS,
+        int(prefill_seconds) / MILLISECONDS,
         {int(aim): _unpack_weight(weight) for aim, weight in weights},
         [
             PendingPrefill(
--- a/libraries/placement/tarragonward_placement/groups.py
+++ b/libraries/placement/tarragonward_placement/groups.py
@@ -1,4 +1,4 @@
-"""Decide which engines hold a prompt beyond one engine, and reserve all or none."""
+"""Choose the engines that hold a large prompt together; reserve all or none."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class GroupMember:
-    """One engine's part of a prompt, in KV tokens."""
+    """One engine's part of a prompt, in KV cache tokens."""
 
     engine: str
     tokens: int
@@ -35,40 +35,40 @@
 
 @dataclass(frozen=True)
 class ReservationGranted:
-    """The engine holds the part."""
+    """The engine has reserved the part."""
 
     engine: str
 
 
 @dataclass(frozen=True)
 class ReservationRefused:
-    """The engine has no room, is gone, or did not say; the part may be held."""
+    """The engine is full, gone or did not answer; it may still hold the part."""
 
     engine: str
 
 
 @dataclass(frozen=True)
 class ReservePart:
-    """Ask an engine to hold a part."""
+    """Ask an engine to reserve a part."""
 
     member: GroupMember
 
 
 @dataclass(frozen=True)
 class ReleasePart:
-    """Tell an engine to free a part, until it has said so."""
+    """Tell an engine to release a part, until it confirms."""
 
     engine: str
 
 
 @dataclass(frozen=True)
 class GroupReady:
-    """All parts are held."""
+    """All parts are reserved."""
 
 
 @dataclass(frozen=True)
 class RetryGroup:
-    """Nothing is held; try again after a random part of max_delay_seconds."""
+    """Nothing is reserved; retry after a random delay of up to max_delay_seconds."""
 
     max_delay_seconds: float
 
@@ -80,15 +80,15 @@
 def plan_group(
     free_tokens: Sequence[tuple[str, int]], need: int
 ) -> tuple[GroupMember, ...] | None:
-    """Return the fewest engines that hold need tokens, or None where they can't.
+    """Return the fewest engines that hold need tokens, or None if they cannot.
 
-    free_tokens are (engine, free KV tokens); a margin is left on each, as others
-    use the engines too and the figures are old.
+    free_tokens are (engine, free KV cache tokens). A margin is left on each engine, as
+    other hosts use it too and the figures are outdated.
     """
-    roomy = sorted(free_tokens, key=lambda item: (-item[1], item[0]))
+    by_free_tokens = sorted(free_tokens, key=lambda item: (-item[1], item[0]))
     members: list[GroupMember] = []
     left = need
-    for engine, free in roomy[: c.MAX_GROUP_ENGINES]:
+    for engine, free in by_free_tokens[: c.MAX_GROUP_ENGINES]:
         part = min(int(free * (1 - c.GROUP_MEMORY_MARGIN)), left)
         if part <= 0:
             break
@@ -100,18 +100,18 @@
 
 
 class GroupReservation:
-    """Reserve the parts of one group in engine order, all or nothing.
+    """Reserves the parts of one group in engine order, all or nothing.
 
-    Two hosts that each hold half of a group and wait for the other's half would wait
-    for ever. Here none waits while it holds: a refusal releases all at once, and the
-    random delay before the next try keeps two hosts from refusing each other in
-    step. The order of the engines makes the first contended one decide.
+    If hosts waited while holding parts, two that each hold half of the engines would
+    deadlock. So none waits: a refusal releases all parts at once, and a random delay
+    before the retry keeps two hosts from refusing each other in lockstep. As all use
+    the same engine order, the first contended engine decides.
     """
 
-    def __init__(self, members: Sequence[GroupMember], tries: int = 0) -> None:
+    def __init__(self, members: Sequence[GroupMember], attempts: int = 0) -> None:
         self._members = sorted(members, key=lambda member: member.engine)
-        self._tries = tries
-        self._asked: list[str] = []
+        self._attempts = attempts
+        self._requested: list[str] = []
         self._granted = 0
         self.is_ready = False
         self.has_ended = False
@@ -125,15 +125,15 @@
         return _handle(event, self)
 
     def release(self) -> list[GroupEffect]:
-        """Return what frees all that was ever asked for; once."""
+        """Return the effects that release every part that was requested; only once."""
         self.has_ended = True
         self.is_ready = False
-        asked, self._asked = self._asked, []
-        return [ReleasePart(engine) for engine in asked]
+        requested, self._requested = self._requested, []
+        return [ReleasePart(engine) for engine in requested]
 
     def _reserve_next(self) -> list[GroupEffect]:
         member = self._members[self._granted]
-        self._asked.append(member.engine)
+        self._requested.append(member.engine)
         return [ReservePart(member)]
 
 
@@ -162,9 +162,9 @@
 def _(event: ReservationRefused, reservation: GroupReservation) -> list[GroupEffect]:
     if reservation.has_ended:
         return []
-    # The engine that did not say may hold the part all the same, so it is
-    # released too: releasing what is not held changes nothing.
+    # An engine that did not answer may hold the part, so it is released too; releasing
+    # what is not held has no effect.
     effects = reservation.release()
-    delay = c.GROUP_RETRY_BASE_SECONDS * 2 ** min(reservation._tries, 16)
+    delay = c.GROUP_RETRY_BASE_SECONDS * 2 ** min(reservation._attempts, 16)
     effects.append(RetryGroup(min(delay, c.GROUP_RETRY_MAX_SECONDS)))
     return effects
--- a/libraries/placement/tarragonward_placement/lanes.py
+++ b/libraries/placement/tarragonward_placement/lanes.py
@@ -1,4 +1,4 @@
-"""Bound the part of the engines that long prompts use, and what others use of it."""
+"""Limit the engines that long prompts use, and what short prompts use of these."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     for index, (limit, priority, chunk) in enumerate(c.LENGTH_CLASSES):
         if prompt_tokens <= limit:
             return index, priority, chunk
-    raise ValueError(f"no treatment for {prompt_tokens} tokens")
+    raise ValueError(f"no length class for {prompt_tokens} tokens")
 
 
 def has_long_prefill(view: EngineView) -> bool:
-    """Return whether an engine reports long prompts that it still reads."""
+    """Return whether an engine reports long prompts in its prefill queue."""
     return view.queued_long_tokens > 0
 
 
@@ -37,9 +37,9 @@
 ) -> list[EngineView]:
     """Return the engines that long prompts may use, in an order all hosts share.
 
-    It is at most that share of the engines, but for the few that a group needs.
-    As all hosts fill it from its start, the rest never meet a long prompt as long as
-    the start can take them.
+    The pool is at most the given share of the engines, unless a group needs a few more.
+    As all hosts fill it from its start, the remaining engines get no long prompt while
+    the start has capacity.
     """
     ordered = sorted(views, key=get_pool_order)
     most = max(math.floor(len(views) * share), min_engines)
@@ -47,7 +47,7 @@
 
 
 def get_pool_order(view: EngineView) -> tuple[int, str]:
-    """Return the place of an engine in the order that all hosts share."""
+    """Return the sort key of an engine in the order that all hosts share."""
     return zlib.crc32(view.name.encode()), view.name
 
 
@@ -69,7 +69,7 @@
         self._buckets: dict[str, _Bucket] = {}
 
     def can_take(self, view: EngineView, live_hosts: int, now: float) -> bool:
-        """Return whether a shorter prompt may go to this engine of the lane."""
+        """Return whether a short prompt may be sent to this engine."""
         rate = view.prefill_tokens_per_second * c.SHORT_PROMPT_RATE_SHARE / live_hosts
         most = rate * c.SHORT_PROMPT_BURST_SECONDS
         bucket = self._buckets.setdefault(view.name, _Bucket(most, now))
@@ -78,6 +78,6 @@
         return bucket.level > 0
 
     def take(self, engine: str, tokens: int) -> None:
-        """Spend tokens on an engine; a prompt longer than what is left makes a debt."""
+        """Spend tokens on an engine; a prompt may overdraw the budget."""
         if engine in self._buckets:
             self._buckets[engine].level -= tokens
--- a/libraries/placement/tarragonward_placement/limits.py
+++ b/libraries/placement/tarragonward_placement/limits.py
@@ -1,4 +1,4 @@
-"""Share the fleet between client accounts by weight, without shared state."""
+"""Divide the fleet's capacity among client accounts by weight, without shared state."""
 
 from __future__ import annotations
 
@@ -15,16 +15,18 @@
 def share_by_weight(
     capacity: float, demand: Mapping[str, float], weights: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return each account's share of capacity: weighted max-min fairness.
+    """Return each account's share of capacity by weighted max-min fairness.
 
-    Whoever wants less than its weight's part gets what it wants; what is left over
-    goes to the others by weight. Units are those of capacity and demand.
+    Accounts that demand less than their share get their demand; the remainder is
+    divided among the others by weight. Units are those of capacity and demand.
     """
     shares: dict[str, float] = {}
     left = capacity
-    waiting = sorted(demand, key=lambda name: demand[name] / weights.get(name, 1.0))
-    weight_left = sum(weights.get(name, 1.0) for name in waiting)
-    for name in waiting:
+    by_relative_demand = sorted(
+        demand, key=lambda name: demand[name] / weights.get(name, 1.0)
+    )
+    weight_left = sum(weights.get(name, 1.0) for name in by_relative_demand)
+    for name in by_relative_demand:
         weight = weights.get(name, 1.0)
         shares[name] = min(demand[name], left * weight / weight_left)
         left -= shares[name]
@@ -40,28 +42,29 @@
     filled_at: float = 0.0
 
     def get_demand(self, now: float) -> float:
-        """Return the offered tokens per second, over about DEMAND_WINDOW_SECONDS."""
+        """Return the offered tokens per second, averaged over DEMAND_WINDOW_SECONDS."""
         elapsed = max(now - self.observed_at, 0.0)
         return self.demand * math.exp(-elapsed / c.DEMAND_WINDOW_SECONDS)
 
     def observe(self, tokens: int, now: float) -> None:
-        """Take in that tokens were offered."""
+        """Record offered tokens."""
         self.demand = self.get_demand(now) + tokens / c.DEMAND_WINDOW_SECONDS
         self.observed_at = now
 
 
 class AccountLimits:
-    """Limit shorter prompts by tokens per second and long ones by memory held.
+    """Limits short prompts by tokens per second, and long ones by the memory they hold.
 
-    One long prompt is more tokens than a small account's short ones in a minute. In
-    one limit it would look like a flood, and its account's short prompts would pay.
+    One long prompt has more tokens than a small account's short prompts of a minute.
+    Under a common limit it would look like a flood and block its account's short
+    prompts.
     """
 
     def __init__(self) -> None:
         self._accounts: dict[str, _Account] = {}
 
     def get_demand(self, now: float) -> dict[str, float]:
-        """Return this host's offered tokens per second by account, for the others."""
+        """Return the tokens per second offered here by account, for other hosts."""
         demand = {n: a.get_demand(now) for n, a in self._accounts.items()}
         return {name: rate for name, rate in demand.items() if rate >= 1.0}
 
@@ -72,19 +75,19 @@
         memory_tokens: float,
         fleet: FleetView,
     ) -> bool:
-        """Return whether a long prompt's account keeps to its share of the memory.
+        """Return whether a long prompt keeps its account within its memory share.
 
-        held are the KV tokens of long prompts in flight through this host; the other
-        hosts' are not known, so each keeps to an even part. One prompt is always
-        allowed: an account that holds nothing is never over its share.
+        held are the KV cache tokens of long prompts in flight through this host. Those
+        of other hosts are unknown, so each host uses an even part of the memory. An
+        account that holds nothing may always place one prompt.
         """
-        mine = held.get(request.account, 0.0)
-        if not mine:
+        own_held = held.get(request.account, 0.0)
+        if not own_held:
             return True
-        wanted = {**held, request.account: mine + request.kv_tokens}
-        part = memory_tokens / max(fleet.live_hosts, 1)
-        shares = share_by_weight(part, wanted, fleet.weights)
-        return wanted[request.account] <= shares[request.account]
+        requested = {**held, request.account: own_held + request.kv_tokens}
+        host_memory = memory_tokens / max(fleet.live_hosts, 1)
+        shares = share_by_weight(host_memory, requested, fleet.weights)
+        return requested[request.account] <= shares[request.account]
 
     def check(
         self,
@@ -94,11 +97,11 @@
         now: float,
         cached_tokens: int = 0,
     ) -> float | None:
-        """Return None to go on, or the seconds after which to come back.
+        """Return None to admit a request, or the seconds after which to retry.
 
-        What is cached costs nothing, and a prefix that is cached is not charged.
-        capacity is the tokens per second of the engines for shorter prompts. The
-        limit binds only while the whole demand is beyond CAPACITY_SHARE of it.
+        Cached prefix tokens are not charged. capacity is the tokens per second that the
+        engines have for short prompts. The limit applies only while the total demand
+        exceeds CAPACITY_SHARE of it.
         """
         account = self._accounts.setdefault(request.account, _Account())
         cost = max(request.kv_tokens - cached_tokens, 1)
@@ -113,7 +116,8 @@
         account.level = min(burst, account.level + allowed * elapsed)
         floor = _get_floor(request.priority, burst)
         if account.level >= floor:
-            # A prompt longer than the burst makes a debt: else it never gets through.
+            # A prompt longer than the burst overdraws the budget; otherwise it would
+            # never be admitted.
             account.level -= cost
             return None
         return (floor - account.level) / max(allowed, 1.0)
@@ -124,7 +128,8 @@
         usable = capacity * c.CAPACITY_SHARE
         own = {n: a.get_demand(now) for n, a in self._accounts.items()}
         if fleet.other_demand is None:
-            # Cut off from the others: each host keeps to an even part of the fleet.
+            # Without contact to other hosts, each host keeps to an even part of the
+            # fleet.
             usable /= max(fleet.live_hosts, 1)
             demand = own
         else:
@@ -134,15 +139,16 @@
         if sum(demand.values()) <= usable:
             return None
         share = share_by_weight(usable, demand, fleet.weights)[name]
-        # An account within its share is not held to its own average: its requests
-        # come in bursts, and one in eight would be refused for the others' flood.
+        # An account within its share is not limited to its own average: requests come
+        # in bursts, and one in eight would be refused because of other accounts'
+        # floods.
         if share >= demand[name]:
             return None
         return share * own[name] / max(demand[name], 1e-9)
 
 
 def _get_floor(priority: int, burst: float) -> float:
-    """Return the level that a request needs: urgent ones may go into debt."""
+    """Return the budget level that a request needs; urgent requests may overdraw it."""
     if priority < 0:
         return -burst
     return burst / 2 if priority > 0 else 0.0
--- a/libraries/placement/tarragonward_placement/loads.py
+++ b/libraries/placement/tarragonward_placement/loads.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class PendingModelLoad:
-    """An engine that wants its model, as published."""
+    """An engine that should load its model, as published."""
 
     engine: str
     failure_domain: str
@@ -21,7 +21,7 @@
 def count_parallel_loads(
     store_bytes_per_second: float, engine_bytes_per_second: float
 ) -> int:
-    """Return how many loads at once use up the store's rate, and no more."""
+    """Return the lowest number of concurrent loads that saturates the store."""
     return max(math.ceil(store_bytes_per_second / engine_bytes_per_second), 1)
 
 
@@ -30,11 +30,11 @@
 ) -> list[str]:
     """Return the engines that may load now.
 
-    Loads share the store's rate: all at once, the first engine is useful only when
-    the last one is. So only the first few of those not loaded go on, in an order that
-    follows from what is published alone: all hosts choose the same ones without
-    asking each other. The order goes round the failure domains, so that each can
-    serve early, cut off or not.
+    Concurrent loads share the store's rate: if all loaded at once, the first engine
+    would be ready only when the last one is. So only the first few that are not loaded
+    proceed. The order depends only on what is published, so all hosts choose the same
+    engines without coordination. It alternates between the failure domains, so that
+    each can serve early even if it is cut off.
     """
     waiting = [load for load in _order(pending) if load.engine not in loaded]
     return [load.engine for load in waiting[:parallel]]
--- a/libraries/placement/tarragonward_placement/outlook.py
+++ b/libraries/placement/tarragonward_placement/outlook.py
@@ -1,4 +1,4 @@
-"""Price what a long reading costs the short prompts that come while it lasts."""
+"""Estimate what a long prefill costs the short prompts that arrive during it."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True)
 class ShortPromptForecast:
-    """What short prompts are expected to need in the next seconds.
+    """The capacity that short prompts are expected to need in the next seconds.
 
-    places are those that they take now, weight_per_second what comes with new ones;
-    free are the engines that read nothing long, each with so many places for them.
+    slots are those that they occupy now; weight_per_second is the weight of new ones.
+    free_engines have no long prefill; each has slots_per_engine for short prompts.
     """
 
     slots: float = 0.0
@@ -29,21 +29,22 @@
     slots_per_engine: float = 1.0
 
     def compute_loss(self, prefill_engines: Sequence[str], seconds: float) -> float:
-        """Return the weight expected to be late as readers read for so many seconds.
-
-        It is the load of a burst: a prompt of 600,000 tokens that is read on 17 of 18
-        engines is in time, and for two seconds all short prompts meet on the last one.
-        Those that write now are the best guess of those that will come (by Little's
-        law as many as places times what they hold one), so the part that finds no
-        place on the engines left is lost, over what finds none without the reading.
+        """Return the weight expected to be late during a prefill of this length.
+
+        It guards against bursts: a prompt of 600,000 tokens that is prefilled on 17 of
+        18 engines meets its own bound, but for two seconds all short prompts have to
+        use the last engine. The requests that decode now are the best estimate of those
+        that will arrive (by Little's law, the occupied slots divided by the time each
+        is held). The loss is the share that finds no slot on the remaining engines,
+        beyond the share that would find none without the prefill.
         """
         if not self.slots:
             return 0.0
         left = len(self.free_engines.difference(prefill_engines))
-        lost = self._compute_unserved_share(left) - self._compute_unserved_share(
+        lost_share = self._compute_unserved_share(left) - self._compute_unserved_share(
             len(self.free_engines)
         )
-        return self.weight_per_second * seconds * lost
+        return self.weight_per_second * seconds * lost_share
 
     def _compute_unserved_share(self, engines: int) -> float:
         return max(0.0, 1 - engines * self.slots_per_engine / self.slots)
@@ -55,34 +56,34 @@
     model: EngineModel,
     prefill_seconds: float,
 ) -> ShortPromptForecast:
-    """Return the outlook for those whose aim a pause as long as a reading breaks."""
-    works = {name: known.get(name, IDLE_ENGINE) for name in engines}
+    """Return the forecast for requests that do not tolerate a pause of this length."""
+    usages = {name: known.get(name, IDLE_ENGINE) for name in engines}
     pause = int(prefill_seconds * MILLISECONDS)
-    paused = [
+    affected = [
         (
-            work.requests,
-            sum(weight for aim, weight in work.weights.items() if aim < pause),
+            usage.requests,
+            sum(weight for aim, weight in usage.weights.items() if aim < pause),
         )
-        for work in works.values()
-        if any(aim < pause for aim in work.weights)
+        for usage in usages.values()
+        if any(aim < pause for aim in usage.weights)
     ]
     strictest = min(
-        (min(work.weights) for work in works.values() if work.weights), default=0
+        (min(usage.weights) for usage in usages.values() if usage.weights), default=0
     )
     return ShortPromptForecast(
-        slots=float(sum(requests for requests, _ in paused)),
-        weight_per_second=sum(weight for _, weight in paused)
+        slots=float(sum(requests for requests, _ in affected)),
+        weight_per_second=sum(weight for _, weight in affected)
         / _compute_slot_hold_seconds(model),
         free_engines=frozenset(
             name
-            for name, work in works.items()
-            if work.prefill_seconds * MILLISECONDS <= strictest
+            for name, usage in usages.items()
+            if usage.prefill_seconds * MILLISECONDS <= strictest
         ),
         slots_per_engine=max(model.slots * c.SLOT_FILL_SHARE, 1.0),
     )
 
 
 def _compute_slot_hold_seconds(model: EngineModel) -> float:
-    """Return for how many seconds a usual answer takes a place."""
+    """Return how long an answer of usual length occupies a slot."""
     passes = max(model.usual_answer_tokens / max(model.stride_steps, 1), 1.0)
     return passes * model.compute_write_seconds(model.slots // 2, 0)
--- a/libraries/placement/tarragonward_placement/placement.py
+++ b/libraries/placement/tarragonward_placement/placement.py
@@ -1,4 +1,4 @@
-"""Choose the engines of a prompt, or refuse it at once."""
+"""Place prompts on engines, or refuse them at once."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class _Choice:
-    """The engine that computes, its predicted time, and the parts of all."""
+    """The engine that computes, its predicted time to first token, and all parts."""
 
     view: EngineView
     ttft_seconds: float
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class _Context:
-    """One question to placement, with what was worked out for it."""
+    """A placement request with values derived from it."""
 
     request: PlacementRequest
     views: Sequence[EngineView]
@@ -63,9 +63,9 @@
 
 
 class Placement:
-    """Place prompts of one model on engines, knowing this host's own work in flight.
+    """Places prompts of one model on engines, tracking this host's own requests.
 
-    random draws the sampled candidates; a seeded one makes every decision repeatable.
+    random draws the sampled candidates; with a seed, every decision is repeatable.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many prompts are placed and not released."""
+        """Return the number of prompts that are placed and not released."""
         return len(self._in_flight)
 
     def place(
@@ -92,7 +92,7 @@
         now: float,
         fleet: FleetView | None = None,
     ) -> Placed | Refused:
-        """Return where the prompt goes; it counts as in flight until release()."""
+        """Return where the prompt runs; it counts as in flight until release()."""
         views = list(engines)
         if not views:
             return Refused(ResultCode.NO_TARGET, c.DEFAULT_RETRY_AFTER_SECONDS)
@@ -104,7 +104,8 @@
         choice = self._choose(context)
         if choice is None:
             return self._refuse_full(context)
-        # Without a recent report there is nothing but a guess to refuse it on.
+        # Without a recent report the prediction is a guess, which is no reason to
+        # refuse.
         is_known = choice.view.report_age_seconds <= c.MAX_TRUSTED_REPORT_SECONDS
         if self._policy.uses_admission and is_known:
             seconds_per_token = self._token_interval.seconds_per_token
@@ -114,7 +115,7 @@
         return self._accept(context, choice)
 
     def note_first_token(self, request_id: str, now: float) -> None:
-        """Learn from a prompt's first token; further calls change nothing."""
+        """Learn from a prompt's first token; later calls for it have no effect."""
         work = self._in_flight.get(request_id)
         if work is None or work.has_first_token:
             return
@@ -123,13 +124,13 @@
         self._corrections.observe(work, now)
 
     def note_finished(self, request_id: str, tokens: int, now: float) -> None:
-        """Learn from a whole answer of so many tokens."""
+        """Learn the token interval from a complete answer."""
         work = self._in_flight.get(request_id)
         if work is not None and work.has_first_token:
             self._token_interval.observe(now - work.first_token_at, tokens - 1)
 
     def release(self, request_id: str) -> None:
-        """Forget a prompt that has ended or left its engines."""
+        """Stop tracking a prompt that has ended or left its engines."""
         self._in_flight.remove(request_id)
 
     def _build_context(
@@ -172,7 +173,7 @@
         return self.limits.check_memory(context.request, held, memory, context.fleet)
 
     def _compute_short_capacity(self, context: _Context) -> float:
-        """Return the tokens per second that the lane leaves for shorter prompts."""
+        """Return the tokens per second that are available to short prompts."""
         total = sum(view.prefill_tokens_per_second for view in context.views)
         shared_rate = sum(
             view.prefill_tokens_per_second
@@ -210,11 +211,12 @@
     def _find_pool_engine(
         self, context: _Context, views: Sequence[EngineView]
     ) -> EngineView | None:
-        """Return one of the lane's first engines whose wait is short for the prompt.
+        """Return one of the pool's first engines with a queue that is short enough.
 
-        So the lane is as large as the long prompts of the moment need: the measure
-        of demand is that the engines before are taken. It is drawn among a few, as
-        hosts that all take the first meet there on one old report.
+        As prompts move on to later engines only while the first ones are busy, the pool
+        grows and shrinks with the long prompts in flight. The engine is drawn among a
+        few, because hosts that all took the first one would collide there on the same
+        old report.
         """
         max_waiting_tokens = context.request.prompt_tokens * c.LONG_POOL_MAX_WAIT_SHARE
         priority, now = context.engine_priority, context.now
@@ -238,18 +240,18 @@
         names = {part.engine for part in parts}
         members = [view for view in context.views if view.name in names]
         leader = min(members, key=lambda view: (self._rank(context, view), view.name))
-        # The leader computes, so its part is named first.
+        # The leader computes, so its part is listed first.
         ordered = sorted(parts, key=lambda part: part.engine != leader.name)
         return _Choice(leader, self._predict(context, leader), tuple(ordered))
 
     def _get_candidates(self, context: _Context) -> list[EngineView]:
-        """Return the engines that the prompt may use, for its length."""
+        """Return the engines that a prompt of this length may use."""
         request, views = context.request, context.views
         if not self._policy.uses_long_pool:
             return list(views)
         if request.is_long:
             largest = max(view.kv_tokens for view in views)
-            # One more than its size needs: the engines are seldom all empty.
+            # One more than its size needs, as rarely all engines are empty.
             share = c.LONG_POOL_SHARES[context.length_class]
             return get_long_pool(views, share, -(-request.kv_tokens // largest) + 1)
         hosts = context.fleet.live_hosts
@@ -263,10 +265,10 @@
     def _sample(
         self, context: _Context, views: Sequence[EngineView]
     ) -> list[EngineView]:
-        """Return a few engines by chance.
+        """Return a random sample of the engines.
 
-        Engines that read long prompts are drawn apart, so that chance alone never
-        leaves a short prompt with none but these. Long prompts look at all.
+        Engines with long prefills are sampled separately, so that a short prompt is
+        never left with only these by chance. Long prompts consider all engines.
         """
         is_long = context.request.is_long and self._policy.uses_long_pool
         if is_long or not self._policy.uses_sampling:
@@ -305,7 +307,7 @@
         )
 
     def _refuse_full(self, context: _Context) -> Refused:
-        """Refuse for want of memory until the least loaded engine has read all."""
+        """Refuse for lack of memory until the least loaded engine's queue is empty."""
         seconds = min(
             view.queued_prefill_tokens / view.prefill_tokens_per_second
             for view in context.views
--- a/libraries/placement/tarragonward_placement/places.py
+++ b/libraries/placement/tarragonward_placement/places.py
@@ -1,4 +1,4 @@
-"""Say where each engine stands in the order that keeps short prompts from long ones."""
+"""Rank the engines so that short prompts are kept apart from long ones."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 @dataclass(frozen=True)
 class PromptRequirements:
-    """A prompt to be placed; aim_seconds is what is left until its first event's.
+    """A prompt to be placed; aim_seconds is the time left for its first event.
 
-    leader is the engine that is to answer, where that is settled already.
+    pause_aim_seconds is the longest pause between events that it tolerates. leader is
+    the engine that has to answer, if that is fixed already.
     """
 
     prompt_tokens: int
@@ -35,12 +36,12 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Return the memory that the prompt and its answer take."""
+        """Return the KV cache tokens that the prompt and its answer take."""
         return self.prompt_tokens + self.output_tokens
 
     @property
     def weight(self) -> float:
-        """Return how much being late counts, in that of the smallest prompt."""
+        """Return the weight of its being late, relative to the smallest prompt."""
         return 1 + self.prompt_tokens / c.TOKENS_PER_WEIGHT
 
 
@@ -60,13 +61,13 @@
     is_local: bool
 
     def compute_position_cost(self, is_long: bool) -> float:
-        """Return what the place counts against the engine, in the weight's unit."""
+        """Return the cost of using an engine at this position, in units of weight."""
         if is_long:
             return c.LONG_PROMPT_POSITION_COST * self.distance_to_end
         return c.PACKING_COST * self.beyond_pool_share
 
     def compute_distance_cost(self) -> float:
-        """Return what it counts that the answer comes from another failure domain."""
+        """Return the cost of an answer from another failure domain."""
         return 0.0 if self.is_local else c.CROSS_DOMAIN_COST
 
 
@@ -78,12 +79,12 @@
     domains: Mapping[str, str],
     own_domain: str,
 ) -> list[EnginePosition]:
-    """Return the places of engines that are given in the order of all hosts.
+    """Return the positions of engines, which are given in the order of all hosts.
 
-    Each failure domain has a lane of its own, and a prompt prefers those of its
-    host's: a domain that is cut off from the others keeps the streams it writes. Were
-    there one lane, two of three streams crossed the cut, and paused until their
-    callers left.
+    Each failure domain has a pool of its own, and a prompt prefers the domain of its
+    host, so that a domain keeps the streams it decodes when it is cut off from the
+    others. With a single pool, two of three streams would cross the cut and pause until
+    their callers left.
     """
     by_domain: dict[str, list[str]] = {}
     for name in engines:
@@ -110,9 +111,9 @@
     known: Mapping[str, EngineUsage],
     model: EngineModel,
 ) -> int:
-    """Return how many engines the strictest writers and one more need."""
+    """Return how many engines the requests with this pause limit and one more need."""
     aim = int(need.pause_aim_seconds * MILLISECONDS)
-    works = (known[name] for name in names if name in known)
-    requests = sum(work.requests for work in works if aim in work.weights)
+    usages = (known[name] for name in names if name in known)
+    requests = sum(usage.requests for usage in usages if aim in usage.weights)
     fill = max(model.slots * c.SLOT_FILL_SHARE, 1.0)
     return math.ceil((requests + 1) / fill)
--- a/libraries/placement/tarragonward_placement/predictions.py
+++ b/libraries/placement/tarragonward_placement/predictions.py
@@ -1,4 +1,4 @@
-"""Predict the time to first token from own work in flight and aged reports."""
+"""Predict the time to first token from own requests in flight and aged reports."""
 
 from __future__ import annotations
 
@@ -35,24 +35,24 @@
 
 
 class InFlightIndex:
-    """The host's own prompts on engines, found by request and by engine."""
+    """The host's own prompts on engines, indexed by request and by engine."""
 
     def __init__(self) -> None:
-        self._work: dict[str, InFlightRequest] = {}
+        self._requests: dict[str, InFlightRequest] = {}
         self._by_engine: dict[str, dict[str, InFlightRequest]] = {}
 
     def __len__(self) -> int:
-        return len(self._work)
+        return len(self._requests)
 
     def add(self, work: InFlightRequest) -> None:
-        """Count a prompt until it is removed."""
-        self._work[work.request_id] = work
+        """Track a prompt until it is removed."""
+        self._requests[work.request_id] = work
         for engine in work.parts:
             self._by_engine.setdefault(engine, {})[work.request_id] = work
 
     def remove(self, request_id: str) -> None:
-        """Forget a prompt; do nothing where it is not known."""
-        work = self._work.pop(request_id, None)
+        """Stop tracking a prompt; do nothing if it is unknown."""
+        work = self._requests.pop(request_id, None)
         if work is None:
             return
         for engine in work.parts:
@@ -61,28 +61,28 @@
                 del self._by_engine[engine]
 
     def get(self, request_id: str) -> InFlightRequest | None:
-        """Return a prompt in flight."""
-        return self._work.get(request_id)
+        """Return a prompt in flight, or None."""
+        return self._requests.get(request_id)
 
     def iterate_engine(self, engine: str) -> Iterator[InFlightRequest]:
-        """Give the prompts on an engine."""
+        """Yield the prompts on an engine."""
         yield from self._by_engine.get(engine, {}).values()
 
     def count_held_by_account(self) -> dict[str, float]:
-        """Return the KV tokens that long prompts hold through this host."""
+        """Return the KV cache tokens that long prompts hold through this host."""
         held: dict[str, float] = {}
-        for work in self._work.values():
+        for work in self._requests.values():
             if work.length_class >= c.FIRST_LONG_CLASS:
                 tokens = sum(work.parts.values())
                 held[work.account] = held.get(work.account, 0.0) + tokens
         return held
 
     def count_queued_tokens(self, view: EngineView, priority: int, now: float) -> float:
-        """Return the prompt tokens that a new prompt of this priority waits for.
+        """Return the prompt tokens queued ahead of a new prompt of this priority.
 
-        A report tells of the time before it was made: what this host placed since is
-        added, as hosts that all trust the same old report send all their work to the
-        engine that looked idle.
+        A report describes the past, so the prompts that this host has placed since are
+        added. Otherwise all hosts would trust the same old report and send their
+        requests to the engine that looked idle.
         """
         reported = view.queued_prefill_tokens
         if priority < c.FIRST_LONG_PRIORITY:
@@ -100,7 +100,7 @@
     def has_lower_priority_work(
         self, view: EngineView, priority: int, now: float
     ) -> bool:
-        """Return whether the engine reads prompts that go after this priority."""
+        """Return whether the engine prefills prompts of a lower priority."""
         if view.queued_long_tokens > 0 and priority < c.FIRST_LONG_PRIORITY:
             return True
         return any(
@@ -110,24 +110,24 @@
         )
 
     def count_free_kv(self, view: EngineView, now: float) -> int:
-        """Return the KV memory that is free for all that this host knows."""
+        """Return the free KV cache tokens, as far as this host knows."""
         unreported = self._iterate_unreported(view, now)
         return view.free_kv_tokens - sum(work.parts[view.name] for work in unreported)
 
     def _iterate_unreported(
         self, view: EngineView, now: float
     ) -> Iterator[InFlightRequest]:
-        made_at = now - view.report_age_seconds - c.REPORT_LAG_ALLOWANCE_SECONDS
+        reported_at = now - view.report_age_seconds - c.REPORT_LAG_ALLOWANCE_SECONDS
         for work in self.iterate_engine(view.name):
-            if work.placed_at >= made_at:
+            if work.placed_at >= reported_at:
                 yield work
 
 
 class TtftCorrections:
-    """The measured over the predicted time to first token, by length class.
+    """The ratio of measured to predicted time to first token, by length class.
 
-    Prefill slows down with the length of the context, which a rate in tokens does
-    not show; the ratio of what came to what was predicted does.
+    Prefill slows down as the context grows, which a rate in tokens does not model; this
+    ratio corrects for it.
     """
 
     def __init__(self) -> None:
@@ -138,7 +138,7 @@
         return self._ratios[length_class]
 
     def observe(self, work: InFlightRequest, now: float) -> None:
-        """Learn from a first token that has come."""
+        """Update the ratio with the first token of a prompt."""
         measured = now - work.placed_at
         ratio = measured / max(work.predicted_ttft_seconds, 1e-3)
         ratio *= self._ratios[work.length_class]
@@ -150,13 +150,13 @@
 
 
 class TokenInterval:
-    """The seconds between an answer's tokens, as this host's answers came."""
+    """The average interval between tokens of the answers that this host received."""
 
     def __init__(self) -> None:
         self.seconds_per_token = c.DEFAULT_SECONDS_PER_TOKEN
 
     def observe(self, seconds: float, tokens: int) -> None:
-        """Learn from tokens that came in so many seconds."""
+        """Update the average with tokens that arrived within the given time."""
         if tokens < c.MIN_INTERVAL_TOKENS:
             return
         change = seconds / tokens - self.seconds_per_token
@@ -170,10 +170,10 @@
     cached: int,
     has_lower_priority_work: bool,
 ) -> float:
-    """Return the seconds until the first token, with waiting tokens before it.
+    """Return the seconds to the first token, with waiting tokens queued ahead.
 
-    A step that runs already must end first, whoever it is for; a prompt that goes
-    after this one is read in such steps, and in what its last step leaves.
+    A running step must end first, whatever it computes. Lower-priority prompts are
+    prefilled in such steps, and in the capacity that higher priorities leave in a step.
     """
     tokens = waiting + max(request.prompt_tokens - cached, 1)
     if has_lower_priority_work:
--- a/libraries/placement/tarragonward_placement/readings.py
+++ b/libraries/placement/tarragonward_placement/readings.py
@@ -1,4 +1,4 @@
-"""Decide which engines read a prompt, by the cost predicted for all on them."""
+"""Plan which engines prefill a prompt, by the predicted cost to all requests there."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True)
 class PrefillPlan:
-    """Who reads a prompt; the leader, which writes the answer, is the first.
+    """The engines that prefill a prompt; the first is the leader, which decodes.
 
-    tickets are the tokens that other readers hold, in the order in which they are
-    filled; the leader holds the rest.
+    reserved_tokens are the KV cache tokens held on other engines, in the order in which
+    they are filled; the leader holds the rest.
     """
 
     prefill_engines: tuple[str, ...]
@@ -32,16 +32,17 @@
     first_event_seconds: float
     cost: float
     reserved_tokens: Mapping[str, int] = field(default_factory=dict)
-    # The published time of a pass of the leader, with the answer among its writers.
+    # Published time of one pass of the leader, with this request among those it
+    # decodes.
     pass_seconds: float = 0.0
 
     @property
     def leader(self) -> str:
-        """Return the engine that gets the request."""
+        """Return the engine that receives the request."""
         return self.prefill_engines[0]
 
     def build_work(self, need: PromptRequirements, now: float) -> InFlightPrompt:
-        """Return the prompt as it is counted while it is in flight."""
+        """Return the prompt as it is tracked while it is in flight."""
         return InFlightPrompt(
             leader=self.leader,
             prefill_ends_at={
@@ -63,32 +64,32 @@
 
 @dataclass(frozen=True)
 class _PrefillCandidate:
-    """One engine as a reader of a part: when it ends, what it costs the others."""
+    """One engine as a candidate for a part: when it ends, and its cost to others."""
 
     name: str
     work: EngineUsage
     prefill_end_seconds: float
     cost: float
     position_cost: float
-    # What it counts, as the engine that answers, that it is in another failure domain.
+    # Cost of its being in another failure domain, if it is the leader.
     distance_cost: float
 
 
 def compute_lateness(seconds: float, bound: float) -> float:
-    """Return how surely a bound is missed, 0 to 1, and a little for how far.
+    """Return how certainly a bound is missed, 0 to 1, plus a term for by how much.
 
-    A prediction is never exact, so what comes near the bound counts in part.
+    Predictions are inexact, so a time close to the bound counts in part.
     """
-    share = seconds / max(bound, c.MIN_BOUND_SECONDS)
-    missed = (share - c.LATENESS_START_SHARE) / (
+    ratio = seconds / max(bound, c.MIN_BOUND_SECONDS)
+    miss_certainty = (ratio - c.LATENESS_START_SHARE) / (
         c.LATENESS_FULL_SHARE - c.LATENESS_START_SHARE
     )
-    far = c.LATENESS_RATIO_WEIGHT * min(share, c.MAX_LATENESS_RATIO)
-    return min(max(missed, 0.0), 1.0) + far
+    ratio_term = c.LATENESS_RATIO_WEIGHT * min(ratio, c.MAX_LATENESS_RATIO)
+    return min(max(miss_certainty, 0.0), 1.0) + ratio_term
 
 
 def _compute_added_lateness(seconds: float, added: float, bound: float) -> float:
-    """Return how much more surely a bound is missed with some time added."""
+    """Return the increase in lateness caused by additional time."""
     return compute_lateness(seconds + added, bound) - compute_lateness(seconds, bound)
 
 
@@ -102,21 +103,22 @@
     domains: Mapping[str, str] | None = None,
     own_domain: str = "",
 ) -> PrefillPlan | None:
-    """Return the readers with the least predicted cost, None where none has memory.
+    """Return the plan with the lowest predicted cost, or None for lack of memory.
 
-    The order of the engines is the same on all hosts: prompts that one engine reads
-    at once are packed at its front, and long ones take its end, so that engines with
-    writers that bear no pause stay few. A host that hears no peer spreads its
-    prompts: hosts that each pack blindly would all pack the same engines.
+    All hosts use the same order of engines. Prompts that a single engine prefills are
+    packed at its front and long ones placed at its end, so that few engines have
+    requests that tolerate no pause. A host without fresh hints from peers spreads its
+    prompts instead: hosts that pack without knowing of each other would all choose the
+    same engines.
     """
     positions = rank_engines(need, engines, known, model, domains or {}, own_domain)
     if not has_fresh_hints:
         positions = [
-            replace(each, beyond_pool_share=0, distance_to_end=0.0)
-            for each in positions
+            replace(candidate, beyond_pool_share=0, distance_to_end=0.0)
+            for candidate in positions
         ]
     chosen = _sample(positions, need, random)
-    if not any(need.can_lead(each.name) for each in chosen):
+    if not any(need.can_lead(candidate.name) for candidate in chosen):
         return None
     single_engine_seconds = model.compute_read_seconds(need.prompt_tokens)
     best = None
@@ -140,9 +142,9 @@
             for position in chosen
         ]
         if needs_reservations:
-            plan = _plan_group_holders(count, part, candidates, need, model, random)
+            plan = _plan_shared_memory(count, part, candidates, need, model, random)
         else:
-            plan = _plan_single_holder(count, part, candidates, need, model, random)
+            plan = _plan_single_memory(count, part, candidates, need, model, random)
         if plan is None:
             continue
         if is_long:
@@ -157,11 +159,13 @@
 def _sample(
     positions: list[EnginePosition], need: PromptRequirements, random: Random
 ) -> list[EnginePosition]:
-    """Return a bounded number of engines, the one that is to answer among them."""
+    """Return a bounded number of engines, always including a given leader."""
     if len(positions) <= c.MAX_PLAN_CANDIDATES:
         return positions
-    fixed_leader = [each for each in positions if each.name == need.leader]
-    others = [each for each in positions if each.name != need.leader]
+    fixed_leader = [
+        candidate for candidate in positions if candidate.name == need.leader
+    ]
+    others = [candidate for candidate in positions if candidate.name != need.leader]
     return fixed_leader + random.sample(
         others, c.MAX_PLAN_CANDIDATES - len(fixed_leader)
     )
@@ -175,13 +179,13 @@
     is_long: bool,
 ) -> _PrefillCandidate:
     part *= work.slowdown
-    reading = work.prefill_seconds * work.slowdown
+    prefill_seconds = work.prefill_seconds * work.slowdown
     step_seconds = (
         model.compute_write_seconds(work.decoding_requests, work.context_tokens)
         * work.slowdown
     )
-    pause = step_seconds + reading + part
-    # What already misses its bound by the reading that waits there costs no more.
+    pause = step_seconds + prefill_seconds + part
+    # A request that misses its bound anyway, because of queued prefills, adds no cost.
     cost = sum(
         weight * _compute_added_lateness(pause - part, part, aim / MILLISECONDS)
         for aim, weight in work.weights.items()
@@ -190,7 +194,7 @@
         * _compute_added_lateness(pending.end_seconds, part, pending.aim_seconds)
         for pending in work.pending_prefills
     )
-    ends = reading + part
+    ends = prefill_seconds + part
     if work.decoding_requests:
         ends += 1.5 * step_seconds
     position_cost = position.compute_position_cost(is_long)
@@ -199,7 +203,7 @@
     )
 
 
-def _plan_single_holder(
+def _plan_single_memory(
     count: int,
     part: float,
     candidates: list[_PrefillCandidate],
@@ -210,17 +214,17 @@
     lead_cost, _, _, leader = min(
         (
             (
-                _compute_lead_cost(each, need, model, need.memory_tokens),
-                each.work.requests,
+                _compute_lead_cost(candidate, need, model, need.memory_tokens),
+                candidate.work.requests,
                 random.random(),
-                each,
+                candidate,
             )
-            for each in candidates
-            if need.can_lead(each.name)
+            for candidate in candidates
+            if need.can_lead(candidate.name)
         ),
         key=lambda item: item[:3],
     )
-    others = [each for each in candidates if each is not leader]
+    others = [candidate for candidate in candidates if candidate is not leader]
     helpers = _choose_helpers(count - 1, others, need, model, random)
     if len(helpers) < count - 1:
         return None
@@ -228,7 +232,7 @@
     return replace(plan, pass_seconds=_compute_pass(leader, need, model, count))
 
 
-def _plan_group_holders(
+def _plan_shared_memory(
     count: int,
     part: float,
     candidates: list[_PrefillCandidate],
@@ -236,49 +240,52 @@
     model: EngineModel,
     random: Random,
 ) -> PrefillPlan | None:
-    """Return a plan whose readers hold the prompt together.
+    """Return a plan whose engines hold the prompt's KV cache together.
 
-    The roomiest readers hold, so that few reservations are needed; the leader is the
-    one of them where that costs least.
+    The engines with the most free memory hold it, so that few reservations are needed;
+    the leader is the one of these where that costs least.
     """
-    fixed_leader = [each for each in candidates if each.name == need.leader]
-    others = [each for each in candidates if each.name != need.leader]
+    fixed_leader = [
+        candidate for candidate in candidates if candidate.name == need.leader
+    ]
+    others = [candidate for candidate in candidates if candidate.name != need.leader]
     prefill_engines = _choose_helpers(
         count - len(fixed_leader), others, need, model, random
     )
     prefill_engines = fixed_leader + prefill_engines
-    roomy = sorted(
-        prefill_engines, key=lambda each: (each.work.held_tokens, random.random())
+    by_free_memory = sorted(
+        prefill_engines,
+        key=lambda candidate: (candidate.work.held_tokens, random.random()),
     )
-    holders = roomy[: c.MAX_RESERVATIONS + 1]
+    holders = by_free_memory[: c.MAX_RESERVATIONS + 1]
     if fixed_leader and fixed_leader[0] not in holders:
         holders[-1] = fixed_leader[0]
     if len(prefill_engines) < count or not holders:
         return None
     leader = min(
-        (each for each in holders if need.can_lead(each.name)),
-        key=lambda each: (_compute_room(each, model) <= 0, each.cost),
+        (candidate for candidate in holders if need.can_lead(candidate.name)),
+        key=lambda candidate: (_compute_room(candidate, model) <= 0, candidate.cost),
     )
     left = need.memory_tokens - max(_compute_room(leader, model), 0)
     reserved_tokens: dict[str, int] = {}
-    for each in holders:
+    for candidate in holders:
         if left <= 0:
             break
-        tokens = min(_compute_room(each, model), left)
-        if each is leader or tokens <= 0:
+        tokens = min(_compute_room(candidate, model), left)
+        if candidate is leader or tokens <= 0:
             continue
-        reserved_tokens[each.name] = tokens
+        reserved_tokens[candidate.name] = tokens
         left -= tokens
     if left > 0:
         return None
     rest = need.memory_tokens - sum(reserved_tokens.values())
     lead_cost = _compute_lead_cost(leader, need, model, rest)
-    # Tickets are filled in the order in which they are listed.
-    held = [each for each in holders if each.name in reserved_tokens]
+    # Reservations are filled in the order in which they are listed.
+    held = [candidate for candidate in holders if candidate.name in reserved_tokens]
     without_memory = [
-        each
-        for each in prefill_engines
-        if each is not leader and each.name not in reserved_tokens
+        candidate
+        for candidate in prefill_engines
+        if candidate is not leader and candidate.name not in reserved_tokens
     ]
     plan = _build_plan(
         [leader, *held, *without_memory], part, lead_cost, need, reserved_tokens
@@ -294,14 +301,18 @@
     random: Random,
 ) -> list[_PrefillCandidate]:
     """Return the engines where a part costs least and ends soonest."""
-    able = [each for each in candidates if each.work.helper_parts < model.slots - 1]
+    eligible = [
+        candidate
+        for candidate in candidates
+        if candidate.work.helper_parts < model.slots - 1
+    ]
     return sorted(
-        able,
-        key=lambda each: (
-            each.cost
-            + each.position_cost
+        eligible,
+        key=lambda candidate: (
+            candidate.cost
+            + candidate.position_cost
             + need.weight
-            * compute_lateness(each.prefill_end_seconds, need.aim_seconds),
+            * compute_lateness(candidate.prefill_end_seconds, need.aim_seconds),
             random.random(),
         ),
     )[:count]
@@ -314,18 +325,22 @@
     need: PromptRequirements,
     reserved_tokens: Mapping[str, int] | None = None,
 ) -> PrefillPlan:
-    first = max(each.prefill_end_seconds for each in prefill_engines)
+    first = max(candidate.prefill_end_seconds for candidate in prefill_engines)
     cost = (
         lead_cost
-        + sum(each.cost + each.position_cost for each in prefill_engines[1:])
+        + sum(
+            candidate.cost + candidate.position_cost
+            for candidate in prefill_engines[1:]
+        )
         + need.weight * compute_lateness(first, need.aim_seconds)
         + c.PREFILL_ENGINE_COST * len(prefill_engines)
     )
     return PrefillPlan(
-        prefill_engines=tuple(each.name for each in prefill_engines),
+        prefill_engines=tuple(candidate.name for candidate in prefill_engines),
         part_seconds=part,
         prefill_end_seconds={
-            each.name: each.prefill_end_seconds for each in prefill_engines
+            candidate.name: candidate.prefill_end_seconds
+            for candidate in prefill_engines
         },
         first_event_seconds=first,
         cost=cost,
@@ -340,24 +355,33 @@
     return model.compute_write_seconds(leader.work.decoding_requests + 1, context)
 
 
-def _compute_room(each: _PrefillCandidate, model: EngineModel) -> int:
-    """Return the memory that a part may take, with some left beside it."""
-    return int(model.memory_tokens * c.RESERVABLE_MEMORY_SHARE) - each.work.held_tokens
+def _compute_room(candidate: _PrefillCandidate, model: EngineModel) -> int:
+    """Return the KV cache tokens that a part may take, with a margin left free."""
+    return (
+        int(model.memory_tokens * c.RESERVABLE_MEMORY_SHARE)
+        - candidate.work.held_tokens
+    )
 
 
 def _compute_lead_cost(
-    each: _PrefillCandidate, need: PromptRequirements, model: EngineModel, tokens: int
+    candidate: _PrefillCandidate,
+    need: PromptRequirements,
+    model: EngineModel,
+    tokens: int,
 ) -> float:
-    """Return what it costs that this engine holds and writes the answer."""
-    work = each.work
+    """Return the cost of this engine holding the KV cache and decoding the answer."""
+    work = candidate.work
     pause = model.compute_write_seconds(work.decoding_requests + 1, work.context_tokens)
     pause = (pause + work.prefill_seconds) * work.slowdown
-    cost = each.cost + each.position_cost + each.distance_cost
+    cost = candidate.cost + candidate.position_cost + candidate.distance_cost
     cost += need.weight * compute_lateness(pause, need.pause_aim_seconds)
-    over = work.requests + 1 - model.slots
-    first = each.prefill_end_seconds + max(over, 0) * c.SLOT_WAIT_SECONDS
+    excess_requests = work.requests + 1 - model.slots
+    first = (
+        candidate.prefill_end_seconds + max(excess_requests, 0) * c.SLOT_WAIT_SECONDS
+    )
     cost += need.weight * compute_lateness(first, need.aim_seconds)
-    # Without memory the newest request loses its place and is read again.
+    # When memory runs out, the engine evicts its newest request, which is prefilled
+    # again.
     room = model.memory_tokens * c.USABLE_MEMORY_SHARE - work.held_tokens
     if tokens > room:
         cost += need.weight + sum(work.weights.values())
--- a/libraries/placement/tarragonward_placement/relocation.py
+++ b/libraries/placement/tarragonward_placement/relocation.py
@@ -1,4 +1,4 @@
-"""Decide whether a stream goes on elsewhere, as its engine begins to read for long."""
+"""Decide whether a stream migrates when its engine starts a long prefill."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 
 
 def predict_event_wait(work: EngineUsage, pass_seconds: float) -> float:
-    """Return the seconds until an engine's writers have their next event."""
+    """Return the seconds until an engine's decoding requests get their next event."""
     return (work.prefill_seconds + pass_seconds) * work.slowdown
 
 
 def should_migrate(
     wait_seconds: float, wait_elsewhere_seconds: float, limit_seconds: float
 ) -> bool:
-    """Return whether a stream is in time elsewhere and is not where it is; seconds.
+    """Return whether a stream is late where it is and in time elsewhere; seconds.
 
-    A long prompt's part is read within one pass of the writers beside it, so they all
-    pause for as long as it takes; the caller of a short one leaves after two seconds.
-    Read again on another engine, a short prompt goes on within a tenth of a second.
-    What is nearly in time stays: a prediction is not exact, and a move costs a repeat.
+    A part of a long prompt is prefilled within one pass of the engine's decoding
+    requests, so they all pause for its duration, and the caller of a short prompt
+    leaves after two seconds. On another engine a short prompt is prefilled again, and
+    its stream continues, within a tenth of a second. A stream that is only slightly
+    late stays: the prediction is inexact, and a migration uses up a retry.
     """
     return (
         wait_seconds > limit_seconds * c.MIGRATE_FROM_SHARE
--- a/libraries/placement/tarragonward_placement/target_limits.py
+++ b/libraries/placement/tarragonward_placement/target_limits.py
@@ -1,4 +1,4 @@
-"""Keep to the requests a second that targets name, as one of many hosts."""
+"""Keep to the rate limits that targets advertise, as one of many hosts."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 
 @dataclass(frozen=True)
 class HostView:
-    """The hosts that a host knows, by name, itself too; lately lost ones are in.
+    """The hosts that a host knows by name, including itself and recently lost ones.
 
-    most is the most hosts that anyone knew lately, never told too low.
+    max_known_hosts is the highest number of hosts that any host knew recently; it is
+    never too low.
     """
 
     own: str
@@ -32,9 +33,10 @@
 
 @dataclass(frozen=True)
 class LimitEntry:
-    """What a host tells another: a target's rate, and how long ago it was named.
+    """A target's rate limit as exchanged between hosts, with the age of the value.
 
-    number stands for the target's id. A rate of None: it names none any more.
+    number identifies the target. A rate of None means that the target advertises no
+    limit any more.
     """
 
     number: int
@@ -42,18 +44,18 @@
     age_seconds: float
 
     def pack(self) -> tuple[int, int, int]:
-        """Return the entry as it travels."""
+        """Return the entry in its wire format."""
         rate = -1 if self.rate is None else round(self.rate * MILLI)
         return self.number, rate, int(max(0.0, self.age_seconds) * MILLI)
 
     @classmethod
     def unpack(cls, item: Any) -> LimitEntry:
-        """Return the entry that pack() gave; raise ValueError if it is not one."""
+        """Return the entry that pack() encoded; raise ValueError if it is malformed."""
         number, rate, age = item
         if not all(
             type(n) is int and -1 <= n < MAX_TARGET_NUMBER for n in (number, rate, age)
         ):
-            raise ValueError("a number is not one")
+            raise ValueError("limit entry needs three integers in range")
         return cls(number, None if rate < 0 else rate / MILLI, max(0, age) / MILLI)
 
 
@@ -65,19 +67,20 @@
     advertised_at: float
     allowance: float
     accrued_at: float
-    # This host's part, and the rate and view of hosts that it was worked out for.
+    # This host's share, and the rate and host view that it was computed for.
     share: float = 0.0
     share_inputs: tuple[float, HostView] | None = field(default=None, repr=False)
 
 
 class TargetLimits:
-    """The limits that targets name, and when this host may send; times in seconds.
-
-    Parts of all hosts add up to no more than the rate, and what hosts have saved up to
-    no more than the slack of any few seconds, whatever each has heard: few hosts use a
-    target that takes little, chosen by its id, and each is one of them only if all the
-    hosts that it may not know would leave it so. Symptom, were the rate divided by all
-    hosts: at 195 hosts and one request a second none could ever send, or all at once.
+    """The rate limits that targets advertise, and when this host may send.
+
+    The shares of all hosts add up to at most the rate, and their saved allowances to at
+    most the burst that targets accept within a few seconds, whatever each host has
+    heard. Few hosts use a target with a low limit. They are chosen by a hash of the
+    target's id, and a host is one of them only if it still would be with all the hosts
+    that it may not know. If the rate were divided among all hosts, then with 195 hosts
+    and one request per second none could ever send, or all would at once.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -85,21 +88,21 @@
         self._random = rng
 
     def __len__(self) -> int:
-        """Return how many targets name a limit."""
+        """Return the number of targets that advertise a limit."""
         return sum(limit.rate is not None for limit in self._limits.values())
 
     def record_advertised(self, number: int, rate: float | None, now: float) -> bool:
-        """Note what a target named now; return whether it is news."""
+        """Record what a target advertised now; return whether its limit changed."""
         return self.apply_entry(LimitEntry(number, rate, 0.0), now)
 
     def apply_entry(self, entry: LimitEntry, now: float, age: float = 0.0) -> bool:
-        """Take what a host told so many seconds ago; return whether it is news."""
+        """Apply an entry that was sent age seconds ago; return whether it is new."""
         advertised_at = now - age - entry.age_seconds
         limit = self._limits.get(entry.number)
         if limit is None:
             if entry.rate is None or len(self._limits) >= c.MAX_TARGET_LIMITS:
                 return False
-            # Hosts that hear of a limit at once must not all send at once.
+            # Hosts that learn of a limit at the same time must not all send at once.
             allowance = self._random.random()
             self._limits[entry.number] = _Limit(
                 entry.rate, advertised_at, allowance, now
@@ -114,12 +117,12 @@
         return has_changed
 
     def is_limited(self, number: int) -> bool:
-        """Return whether a target names a limit."""
+        """Return whether a target advertises a limit."""
         limit = self._limits.get(number)
         return limit is not None and limit.rate is not None
 
     def may_send(self, number: int, view: HostView, now: float) -> bool:
-        """Return whether this host may send a target one request more now."""
+        """Return whether this host may send one more request to a target now."""
         limit = self._limits.get(number)
         if limit is None or limit.rate is None:
             return True
@@ -127,7 +130,7 @@
         return limit.allowance >= 1.0
 
     def compute_wait(self, number: int, view: HostView, now: float) -> float:
-        """Return the seconds until this host may send a target one more request."""
+        """Return the seconds until this host may send one more request to a target."""
         if self.may_send(number, view, now):
             return 0.0
         limit = self._limits[number]
@@ -136,26 +139,26 @@
         return (1.0 - limit.allowance) / limit.share
 
     def record_send(self, number: int) -> None:
-        """Count a request that is about to be sent."""
+        """Charge a request that is about to be sent."""
         limit = self._limits.get(number)
         if limit is not None and limit.rate is not None:
             limit.allowance -= 1.0
 
     def refund_send(self, number: int) -> None:
-        """Give back what a request took of which no byte was sent."""
+        """Refund a request of which no byte was sent."""
         limit = self._limits.get(number)
         if limit is not None and limit.rate is not None:
             limit.allowance = min(1.0, limit.allowance + 1.0)
 
     def build_entry(self, number: int, now: float) -> LimitEntry | None:
-        """Return what is known of a target's limit, as it is told to other hosts."""
+        """Return a target's limit as it is sent to other hosts."""
         limit = self._limits.get(number)
         if limit is None:
             return None
         return LimitEntry(number, limit.rate, now - limit.advertised_at)
 
     def keep_only(self, numbers: Collection[int], now: float) -> None:
-        """Forget targets that are no more, and limits that ended long ago."""
+        """Forget targets that are gone, and limits that ended long ago."""
         oldest = now - c.LIMIT_RETENTION_SECONDS
         for number, limit in list(self._limits.items()):
             has_ended = limit.rate is None and limit.advertised_at < oldest
@@ -163,7 +166,7 @@
                 del self._limits[number]
 
     def iterate(self) -> Iterator[int]:
-        """Give the targets that name, or lately named, a limit."""
+        """Yield the targets that advertise a limit, or did so recently."""
         yield from self._limits
 
     def _accrue(self, number: int, limit: _Limit, view: HostView, now: float) -> None:
@@ -179,10 +182,11 @@
 
 
 def compute_host_share(number: int, rate: float, view: HostView) -> float:
-    """Return how many requests a second of a target's rate are this host's.
+    """Return this host's share of a target's rate, in requests per second.
 
-    The users of a target are the first by a hash of it and them. Hosts with other views
-    choose other ones: what a host doesn't know counts as before it.
+    A target is used by the hosts that come first in a hash of the target and the host.
+    Hosts with different views choose differently: a host assumes that all hosts it does
+    not know come before it.
     """
     host_count = int(c.LIMIT_HOSTS_PER_RATE * rate) + c.LIMIT_MIN_HOSTS
     if rate < c.LIMIT_MIN_RATE:
--- a/libraries/placement/tarragonward_placement/widening.py
+++ b/libraries/placement/tarragonward_placement/widening.py
@@ -1,4 +1,4 @@
-"""Decide when a prompt looks beyond its host's cell for engines."""
+"""Decide when a prompt uses engines outside its host's cell."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     need: PromptRequirements,
     plan_fleet: Callable[[], PrefillPlan | None],
 ) -> PrefillPlan | None:
-    """Return the plan within the cell, or the fleet's where it is better by far.
+    """Return the plan within the cell, or the fleet's if it is clearly better.
 
-    It is the load of long prompts that come in a burst: each takes most engines of a
-    cell, and the next one waits for them while those of other cells idle. Less is known
-    of the engines of other cells, so a small gain is none.
+    It guards against bursts of long prompts: each takes most engines of a cell, and the
+    next one would wait for them while engines of other cells idle. Less is known of the
+    engines of other cells, so a small gain there is not trusted.
     """
     if cell_plan is not None and cell_plan.cost <= c.WIDEN_MIN_COST_SHARE * need.weight:
         return cell_plan
