--- a/libraries/placement/tests/test_cells.py
+++ b/libraries/placement/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""Cells: who plans which engines in a large fleet."""
+"""Tests of cells: which hosts plan which engines in a large fleet."""
 
 from collections import Counter
 
@@ -40,10 +40,11 @@
 
 
 def test_a_failure_domain_of_tens_of_engines_is_one_cell():
-    """Two long prompts take all nine engines of a cell; its short prompts are late.
+    """Two long prompts take all nine engines of a cell, so its short prompts are late.
 
-    Next to it other cells idle. A failure domain of 39 hosts and 35 engines had four
-    cells; whole, it absorbs both, and the callers that chance gives a few hosts.
+    Neighbouring cells are idle meanwhile. A failure domain of 39 hosts and 35 engines
+    used to have four cells; as one cell it absorbs both prompts, and an uneven spread
+    of callers over its hosts.
     """
     domains = "abcde"
     hosts = [LocatedMember(f"10.0.{n}.1:7000", domains[n % 5]) for n in range(195)]
@@ -68,7 +69,7 @@
 
 
 def test_engines_of_a_domain_without_hosts_are_used_by_the_others():
-    """All hosts of a domain are dead; its engines must not idle for that."""
+    """All hosts of a domain are dead; its engines must still be used."""
     hosts = [host for host in build_hosts(60) if host.failure_domain != "c"]
     engines = build_engines(60)
     used = set().union(*(cell.engines for cell in choose_all(hosts, engines).values()))
@@ -76,7 +77,7 @@
 
 
 def test_a_member_less_moves_only_hosts_at_the_borders_of_cells():
-    """A host dies; the others see it one after the other, and still share engines."""
+    """A host dies; others learn of it at different times and still share engines."""
     hosts, engines = build_hosts(75), build_engines(69)
     near = [host for host in hosts if host.failure_domain == "a" and host != hosts[9]]
     fewer = [host for host in hosts if host != hosts[9]]
--- a/libraries/placement/tests/test_groups.py
+++ b/libraries/placement/tests/test_groups.py
@@ -1,4 +1,4 @@
-"""Randomised tests of groups: hosts contend, all end, none holds half for good."""
+"""Randomised tests of groups: hosts contend, all finish, and nothing stays reserved."""
 
 import heapq
 from random import Random
@@ -97,10 +97,10 @@
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize(("hosts", "loss"), [(2, 0.0), (4, 0.0), (3, 0.2)])
 def test_contending_hosts_all_end_and_nothing_stays_held(seed, hosts, loss):
-    """Hosts want more than half of the engines each, at once, again and again.
+    """Hosts repeatedly and concurrently want more than half of the engines each.
 
-    If one that holds a part waited for the rest, two would hold half each for ever.
-    Answers are lost too: a part that was granted unseen must be released as well.
+    If a host waited while holding parts, two could hold half each for ever. Answers are
+    lost too: a part that was granted without the host knowing must be released as well.
     """
     invariants.strict = True
     contest = Contest(seed, hosts, groups=3, loss=loss)
--- a/libraries/placement/tests/test_limits.py
+++ b/libraries/placement/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits between client accounts."""
+"""Tests of the rate and memory limits of client accounts."""
 
 from random import Random
 
@@ -37,10 +37,10 @@
 
 @pytest.mark.parametrize("is_cut_off", [False, True])
 def test_small_accounts_get_through_while_a_large_one_floods(is_cut_off):
-    """One account offers four times the fleet through every host.
+    """One account offers four times the fleet's capacity through every host.
 
-    Each host knows only its own part and the others' demand, or, cut off, not even
-    that. The small account stays within its share and must not pay for the flood.
+    Each host knows its own part and the others' demand or, cut off, only its own. The
+    small account stays within its share and must not be refused because of the flood.
     """
     hosts = [AccountLimits() for _ in range(4)]
     admitted = {"flood": 0, "small": 0}
--- a/libraries/placement/tests/test_loads.py
+++ b/libraries/placement/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Tests of which engines load next."""
+"""Tests of which engines load their model next."""
 
 from tarragonward_placement.loads import PendingModelLoad, choose_loads
 
--- a/libraries/placement/tests/test_outlook.py
+++ b/libraries/placement/tests/test_outlook.py
@@ -1,4 +1,4 @@
-"""What a long reading costs the short prompts that come while it lasts."""
+"""Tests of what a long prefill costs the short prompts that arrive during it."""
 
 from dataclasses import replace
 
@@ -36,10 +36,10 @@
 
 
 def test_a_reading_that_leaves_one_engine_costs_most_of_what_comes():
-    """Eighteen short prompts write, and a long one would read on nine engines of ten.
+    """Eighteen short prompts decode; a long one would prefill on nine of ten engines.
 
-    The last engine has seven places; of those that come in two seconds, more than a
-    half would wait for the reading's end and be late.
+    The last engine has seven slots. More than half of the short prompts that arrive
+    within two seconds would wait for the end of the prefill and be late.
     """
     outlook = forecast(busy=ENGINES[:3])
     loss = outlook.compute_loss(ENGINES[1:], 2.0)
--- a/libraries/placement/tests/test_paces.py
+++ b/libraries/placement/tests/test_paces.py
@@ -1,4 +1,4 @@
-"""Slow engines: what hosts see themselves, and what they tell each other."""
+"""Tests of slow engines: what hosts observe and what they report to each other."""
 
 import msgpack
 import pytest
@@ -8,7 +8,7 @@
 
 
 def make_book(*slowdowns, engine="e1"):
-    """Return the book of a host that saw these passes of an engine."""
+    """Return the tracker of a host that observed these passes of an engine."""
     book = FleetUsageTracker()
     for slowdown in slowdowns:
         book.record_pass(engine, slowdown, now=1.0)
@@ -16,7 +16,7 @@
 
 
 def hear(*peers):
-    """Return the pace of the engine as a host knows it that heard these peers."""
+    """Return the engine's slowdown as known by a host that received these digests."""
     book = FleetUsageTracker()
     for number, peer in enumerate(peers):
         digest = msgpack.unpackb(msgpack.packb(peer.build_digest(1.0)))
@@ -29,12 +29,12 @@
 
 
 def test_a_host_hears_that_an_engine_is_slow_before_it_sends_there():
-    """Each host found out by prompts of its own, which were late there."""
+    """Otherwise each host would find out with prompts of its own, which are late."""
     assert hear(make_book(*SLOW), make_book(*SLOW)) == pytest.approx(4.0)
 
 
 def test_the_word_of_one_peer_is_not_enough():
-    """A host whose own processor or link is slow sees all engines as slow."""
+    """A host whose own CPU or link is slow observes all engines as slow."""
     assert hear(make_book(*SLOW), make_book(*FAST)) == 1.0
     assert hear(make_book(9.0, 9.0, 9.0), *[make_book(*SLOW)] * 2) == pytest.approx(4.0)
 
@@ -44,7 +44,7 @@
 
 
 def test_peers_tell_only_while_they_know():
-    """An engine that is well again must not be told to be slow for good."""
+    """An engine that has recovered must not be reported as slow for ever."""
     book = make_book(*SLOW)
     assert book.build_digest(1.0)
     assert not book.build_digest(1.1 + c.MAX_SLOWDOWN_AGE_SECONDS)
@@ -52,7 +52,7 @@
 
 
 def test_a_fleet_that_is_slow_as_a_whole_is_told_alike():
-    """Then nothing is an outlier: all engines keep their order."""
+    """If all engines are equally slow, none is an outlier and their order is kept."""
     peers = [FleetUsageTracker(), FleetUsageTracker()]
     for peer in peers:
         for engine in ("e1", "e2", "e3"):
--- a/libraries/placement/tests/test_placement.py
+++ b/libraries/placement/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement: its invariants, predictions, lane and refusals."""
+"""Tests of placement: its invariants, predictions, long-prompt pool and refusals."""
 
 from dataclasses import replace
 from random import Random
@@ -55,10 +55,10 @@
 
 
 def test_work_that_the_report_does_not_know_counts():
-    """Two hosts' worth of prompts arrive between two reports.
+    """Two prompts arrive between two reports, which say that both engines are idle.
 
-    The report says both engines are idle. The first prompt goes to one; as the report
-    is still the same, only the host's own book keeps the second from following it.
+    The first prompt goes to one engine. As the report is unchanged, only the host's own
+    record keeps the second prompt from following it.
     """
     placement = Placement(Random(1))
     views = [make_view("a"), make_view("b")]
@@ -87,10 +87,10 @@
 
 
 def test_nothing_is_refused_on_a_guess():
-    """A host has just begun and has read no report yet.
+    """A host has just started and has not read a report yet.
 
-    Its first long prompt would be refused, though the engines are idle and fast: the
-    assumed rate is low. Without a recent report there is nothing to refuse it on.
+    The assumed prefill rate is low, so its first long prompt would be refused although
+    the engines are idle and fast. Without a recent report nothing is refused for time.
     """
     view = replace(make_view("a", age=3_600.0), prefill_tokens_per_second=10.0)
     answer = Placement(Random(1)).place(make_request(), [view], 0.0)
@@ -104,10 +104,10 @@
 
 
 def test_a_prompt_too_long_only_for_the_engines_in_reach_may_come_back():
-    """Two of three engines are excluded, or leave, when a long prompt arrives.
+    """Two of three engines are excluded or leaving when a long prompt arrives.
 
-    All three could hold it. "Too long, change the request" would make the caller give
-    up for good on work that runs a minute later; it is told when to come back.
+    All three could hold it. Refused as too long, the caller would give up on a request
+    that can run a minute later; instead it is told when to retry.
     """
     request = make_request(prompt=900_000)
     fleet = FleetView(published_kv_tokens=(400_000,) * 3)
@@ -129,10 +129,10 @@
 
 
 def test_short_prompts_leave_half_of_an_engine_to_the_long_one():
-    """Every engine reads a long prompt while short ones come without end.
+    """Every engine prefills a long prompt while short ones keep arriving.
 
-    Short ones go before long ones on an engine, so without a bound the long ones
-    would never end. What all hosts may send there is half of the engine's rate.
+    Short prompts have priority on an engine, so without a limit the long ones would
+    never end. All hosts together may send half of the engine's rate there.
     """
     hosts, seconds, sent = 8, 20.0, 0
     view = make_view("a", queued=[(3, 500_000)])
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_placement_never_goes_over_memory_or_to_an_engine_it_was_not_given(seed):
-    """Hosts place at random on views at random; the invariants are checked inside."""
+    """Hosts place random prompts on random views; placement checks its invariants."""
     random = Random(seed)
     placement = Placement(Random(seed))
     held, now = {}, 0.0
--- a/libraries/placement/tests/test_places.py
+++ b/libraries/placement/tests/test_places.py
@@ -1,4 +1,4 @@
-"""The lanes that keep short prompts from long ones, one a failure domain."""
+"""Tests of the pools that separate short prompts from long ones in each domain."""
 
 from tarragonward_placement import EngineUsage, PromptRequirements
 from tarragonward_placement.places import rank_engines
@@ -16,9 +16,9 @@
 
 
 def test_each_domain_keeps_as_many_engines_as_its_own_writers_need():
-    """Two domains write little, one much; its lane grows, and theirs do not.
+    """Two domains decode little and one much; only the pool of the latter grows.
 
-    The engines beyond the lanes stay free of writers that bear no pause.
+    The engines beyond the pools stay free of requests that tolerate no pause.
     """
     busy = {
         f"b{number}": EngineUsage(decoding_requests=6, weights={200: 9.0})
@@ -30,10 +30,10 @@
 
 
 def test_a_domain_cut_off_keeps_the_streams_of_its_own_hosts():
-    """A failure domain is cut off from the others, with streams on their engines.
+    """A failure domain is cut off from the others that have streams on its engines.
 
     Such a stream pauses until its caller leaves. So a host prefers the engines of its
-    own domain for answers, and takes others only where these are worse.
+    own domain for answers, and uses others only if its own are worse.
     """
     places = place({})
     near = [name for name, each in places.items() if not each.compute_distance_cost()]
--- a/libraries/placement/tests/test_readings.py
+++ b/libraries/placement/tests/test_readings.py
@@ -1,4 +1,4 @@
-"""Check which engines are chosen to read a prompt."""
+"""Tests of which engines are chosen to prefill a prompt."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     engines: list[str] | None = None,
     has_fresh_hints: bool = True,
 ) -> PrefillPlan:
-    """Return the plan on the engines of this file."""
+    """Return the plan on this module's engines."""
     chosen = plan_prefill(
         need,
         ENGINES if engines is None else engines,
@@ -54,7 +54,7 @@
 
 
 def build_short_writers(count: int) -> EngineUsage:
-    """Return an engine on which so many short prompts are answered."""
+    """Return an engine that decodes this many short prompts."""
     return EngineUsage(
         decoding_requests=count,
         context_tokens=count * 5_000,
@@ -64,18 +64,18 @@
 
 
 def test_short_prompts_share_an_engine_with_short_writers() -> None:
-    """Engines without short writers stay free for long readings."""
+    """Engines that decode no short prompts stay free for long prefills."""
     assert plan(SHORT).prefill_engines == ("e00",)
     assert plan(SHORT, {"e00": build_short_writers(3)}).leader in ("e00", "e01")
 
 
 def test_full_engine_gets_no_more_short_prompts() -> None:
-    """A prompt beyond the places waits for the end of an answer."""
+    """A prompt beyond the engine's slots would wait for an answer to end."""
     assert plan(SHORT, {"e00": build_short_writers(8)}).leader != "e00"
 
 
 def test_long_prompt_spares_the_writers_that_bear_no_pause() -> None:
-    """One long reading holds a writer's next event for seconds."""
+    """One long prefill delays the next event of a decoding request by seconds."""
     known = {name: build_short_writers(4) for name in ENGINES[:4]}
     readers = plan(LONG, known).prefill_engines
     assert len(readers) > 1
@@ -83,14 +83,14 @@
 
 
 def test_joint_reading_comes_within_the_aim() -> None:
-    """A prompt that takes one engine too long is read by several."""
+    """A prompt that takes too long on one engine is prefilled by several."""
     longest = PromptRequirements(400_000, 800, 3.0, 0.8)
     assert MODEL.compute_read_seconds(400_000) > 3.0
     assert plan(longest).first_event_seconds < 3.0
 
 
 def test_short_prompt_avoids_an_engine_that_reads_a_long_one() -> None:
-    """The short prompt would be read after the long one."""
+    """The short prompt would be queued behind the long prefill."""
     known = {
         "e00": EngineUsage(
             prefilling_requests=1, prefill_seconds=2.5, weights={800: 22.0}
@@ -100,7 +100,7 @@
 
 
 def test_prompt_goes_where_its_memory_is_free() -> None:
-    """Where memory runs out, the newest request loses its place."""
+    """When memory runs out, the engine evicts its newest request."""
     known = {
         name: EngineUsage(decoding_requests=2, held_tokens=400_000, weights={800: 40.0})
         for name in ENGINES[1:]
@@ -109,7 +109,7 @@
 
 
 def test_prompt_beyond_one_engine_is_held_by_several() -> None:
-    """The tickets and the leader's own memory hold all of it, with room left."""
+    """Reservations and the leader's memory hold the whole prompt, with a margin."""
     huge = PromptRequirements(900_000, 800, 3.0, 0.8)
     known = {
         "e03": EngineUsage(
@@ -130,13 +130,13 @@
 
 
 def test_prompt_beyond_all_memory_has_no_plan() -> None:
-    """No group holds it, so it is refused at once."""
+    """No group can hold it, so it is refused at once."""
     huge = PromptRequirements(900_000, 800, 3.0, 0.8)
     assert plan_prefill(huge, ENGINES[:2], {}, MODEL, Random(1)) is None
 
 
 def test_host_that_hears_no_peer_spreads_short_prompts() -> None:
-    """All hosts that pack blindly would pack the same engine."""
+    """Hosts that pack without knowing of each other would choose the same engine."""
     leaders = {
         plan_prefill(SHORT, ENGINES, {}, MODEL, Random(seed), False).leader  # type: ignore[union-attr]
         for seed in range(40)
@@ -145,7 +145,7 @@
 
 
 def test_book_counts_own_work_until_it_ends() -> None:
-    """The reading shrinks with time and is over at the first event."""
+    """The prefill shrinks with time and is over at the first event."""
     book = FleetUsageTracker()
     chosen = plan(LONG)
     work = chosen.build_work(LONG, now=10.0)
@@ -163,7 +163,7 @@
 
 
 def test_digest_of_a_peer_counts_and_ages() -> None:
-    """A hint is worth what is still left of it, and then nothing."""
+    """A hint counts for what is left of it, and then expires."""
     peer, book = FleetUsageTracker(), FleetUsageTracker()
     chosen = plan(LONG)
     peer.begin(chosen.build_work(LONG, now=10.0))
@@ -189,7 +189,7 @@
 
 
 def test_engine_counts_stand_in_for_peers_that_are_not_heard() -> None:
-    """What the engine has beyond the host's own is taken to write."""
+    """Requests beyond the host's own are assumed to be decoding."""
     book = FleetUsageTracker()
     book.record_request_count("e00", 5, now=1.0)
     assert book.get_usage(1.0)["e00"].decoding_requests == 5
@@ -197,7 +197,7 @@
 
 
 def test_counts_of_engines_that_are_gone_are_forgotten_beside_peers() -> None:
-    """Each start of an engine has a new id; its count must not be kept for good."""
+    """An engine has a new id at each start, so old counts would accumulate."""
     book = FleetUsageTracker()
     book.apply_digest("peer", {}, age=0.0, now=9.0)
     book.record_request_count("e00", 5, now=1.0)
@@ -206,7 +206,7 @@
 
 
 def test_peers_are_told_at_once_of_a_long_reading_only() -> None:
-    """Until they hear of it, they send short prompts to its engines."""
+    """Until they know of it, they send short prompts to its engines."""
     book = FleetUsageTracker()
     told: list[int] = []
     book.on_change.append(lambda is_long: told.append(1))
@@ -217,7 +217,7 @@
 
 
 def test_mates_that_are_told_seldom_are_told_of_each_prompt_at_once() -> None:
-    """Tens of mates can't be told in each round; between two, all pick one engine."""
+    """A large cell has rare rounds; between two of them, all would pick one engine."""
     book = FleetUsageTracker()
     book.announces_every_prompt = True
     told: list[int] = []
@@ -227,10 +227,10 @@
 
 
 def test_an_engine_that_passes_show_to_be_slow_is_spared() -> None:
-    """Its passes take six times as long as published, for all that write there.
+    """The engine's passes take six times the published time, for all its requests.
 
-    One event that came late, or the reading of another prompt, does not make an
-    engine slow; and it is tried again once nothing was seen of it for a while.
+    One late event, or the prefill of another prompt, does not make an engine slow. A
+    slow engine is tried again after it was not observed for a while.
     """
     book = FleetUsageTracker()
     for number in range(c.SLOWDOWN_SAMPLES):
@@ -245,7 +245,7 @@
 
 
 def test_a_slow_reader_makes_a_joint_reading_longer() -> None:
-    """Its part ends as much later as its passes take longer."""
+    """Its part of the prefill ends later in proportion to its slowdown."""
     slow = {name: EngineUsage(slowdown=4.0) for name in ENGINES}
     first = plan(LONG, slow).first_event_seconds
     assert first > 2 * plan(LONG).first_event_seconds
@@ -255,10 +255,10 @@
 
 
 def test_an_engine_that_is_settled_answers_among_many() -> None:
-    """A helper's refusal sends a prompt back to its leader, in a fleet of hundreds.
+    """A helper refuses in a fleet of hundreds, so the prompt returns to its leader.
 
-    Only some engines are weighed there. Were the leader not always among them, no plan
-    could be made, and the caller's request would end in an error of this host.
+    Only a sample of the engines is considered. If the leader were not always in it, no
+    plan could be made, and the caller's request would end in an error of this host.
     """
     many = [f"e{number:03}" for number in range(4 * c.MAX_PLAN_CANDIDATES)]
     for need in (SHORT, LONG, replace(LONG, prompt_tokens=900_000)):
@@ -268,11 +268,11 @@
 
 
 def test_a_huge_prompt_leaves_engines_for_those_who_come_meanwhile() -> None:
-    """A prompt that no count of readers has in time by much, in a burst of short ones.
+    """No number of engines prefills a huge prompt in time, amid a burst of short ones.
 
-    Read by all engines but one for two seconds, it met 86 short prompts on the last
-    one, all late: 0.818 of a quiet day's worth, 0.899 with the price of what comes
-    (a day of 18 engines, 542 short prompts). Their engines stay free for them.
+    Prefilled by all engines but one for two seconds, it left 86 short prompts to the
+    last one, all late: 0.818 of a quiet day's worth, and 0.899 with the expected loss
+    in the cost (a day of 18 engines, 542 short prompts). So engines stay free for them.
     """
     engines = [f"e{number:02}" for number in range(18)]
     known = {name: build_short_writers(6) for name in engines[:8]}
--- a/libraries/placement/tests/test_relocation.py
+++ b/libraries/placement/tests/test_relocation.py
@@ -1,4 +1,4 @@
-"""Whether a stream goes on elsewhere as its engine begins to read for long."""
+"""Tests of whether a stream migrates when its engine starts a long prefill."""
 
 import pytest
 
--- a/libraries/placement/tests/test_summaries.py
+++ b/libraries/placement/tests/test_summaries.py
@@ -1,4 +1,4 @@
-"""What hosts of other cells tell of their engines, and how it is put together."""
+"""Tests of the summaries that hosts of other cells send of their engines."""
 
 import msgpack
 import pytest
@@ -11,7 +11,7 @@
 
 
 def make_book(*readers, seconds=1.0, now=0.0):
-    """Return the book of a host that has sent a long prompt to these engines."""
+    """Return the tracker of a host that sent a long prompt to these engines."""
     book = FleetUsageTracker()
     if readers:
         until = dict.fromkeys(readers, seconds)
@@ -25,7 +25,7 @@
 
 
 def test_a_summary_tells_of_all_that_a_host_knows_of_its_cell():
-    """A long prompt of another cell must not be read where short ones are written."""
+    """Another cell's long prompt must not be prefilled where short ones decode."""
     book, peer = make_book("e1"), make_book("e2")
     book.apply_digest("peer", peer.build_digest(0.0), 0.0, 0.0)
     far = make_book()
@@ -37,7 +37,7 @@
 
 
 def test_what_is_told_twice_of_an_engine_counts_once():
-    """A reading is told at once, and again in the summary of the engine's cell."""
+    """A prefill is reported at once, and again in the summary of the engine's cell."""
     reader, near, far = make_book("e1"), make_book(), make_book()
     near.apply_digest("reader", reader.build_digest(0.0), 0.0, 0.0)
     far.apply_digest("reader", reader.build_digest(0.0), 0.0, 0.0)
@@ -56,7 +56,7 @@
 
 
 def test_a_summary_is_not_told_on():
-    """Two hosts count an engine as theirs, and tell each other of work long ended."""
+    """Two hosts count an engine as theirs, and repeat to each other what has ended."""
     one, other = make_book("e1"), make_book()
     other.apply_summary(tell(one), 0.0, 0.0)
     assert other.get_usage(0.1)["e1"].requests == 1
@@ -64,7 +64,7 @@
 
 
 def test_summaries_are_forgotten_once_they_are_old():
-    """Hosts of a cell that is cut off tell nothing: its engines count as unknown."""
+    """A cell that is cut off sends no summaries, so its engines count as unknown."""
     far = make_book()
     far.apply_summary(tell(make_book("e1", seconds=9.0)), 0.0, 0.0)
     assert "e1" in far.get_usage(c.MAX_HINT_AGE_SECONDS)
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("data", [None, [1], {"e1": [1, 2]}, {"e1": "word"}])
 def test_a_malformed_summary_changes_nothing(data):
-    """It may come from a host of another version."""
+    """A host of another version may have sent it."""
     far = make_book()
     with pytest.raises((AttributeError, TypeError, ValueError)):
         far.apply_summary(data, 0.0, 0.0)
--- a/libraries/placement/tests/test_target_limits.py
+++ b/libraries/placement/tests/test_target_limits.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts share the requests a second that targets name."""
+"""Tests of how hosts divide the rate limits that targets advertise."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 def count_allowed(rate):
-    """Return what a target takes in a window, by the users' rule."""
+    """Return how many requests a target accepts in a window, by the users' rule."""
     return 1.5 * rate * WINDOW + 5
 
 
@@ -36,14 +36,14 @@
     known = name_hosts(hosts)
     parts = [compute_host_share(TARGET, rate, HostView(h, known, hosts)) for h in known]
     assert 0.8 * rate < sum(parts) <= rate
-    # What all have saved up at once, and what they earn in a window.
+    # The saved allowances of all hosts, and what they accrue in a window.
     saved = sum(part > 0 for part in parts)
     assert saved + sum(parts) * WINDOW <= count_allowed(rate)
 
 
 @pytest.mark.parametrize("rate", [0.3, 1.0, 40.0])
 def test_hosts_that_believe_in_different_fleets_stay_within_the_rule(rate):
-    """Two sides of a cut each drop the other from their view, not from the count."""
+    """Each side of a cut drops the other from its view, but not from the host count."""
     hosts, parts = 195, []
     for first, count in ((0, 150), (150, 45)):
         known = name_hosts(count, first)
@@ -55,7 +55,7 @@
 
 
 def test_a_host_that_knows_few_of_many_uses_no_target_that_takes_little():
-    """A host that has just started would take the whole limit for itself."""
+    """Otherwise a host that has just started would take the whole limit for itself."""
     view = HostView("h1", name_hosts(3), 195)
     assert compute_host_share(TARGET, 1.0, view) == 0.0
 
@@ -89,7 +89,7 @@
 
 
 def test_the_newest_word_counts_in_whatever_order_it_comes():
-    """Words that cross on the way must not bring an ended limit back."""
+    """Entries that arrive out of order must not restore a limit that has ended."""
     entries = [LimitEntry(TARGET, 1.0, 3.0), LimitEntry(TARGET, None, 1.0)]
     for told in (entries, entries[::-1]):
         limits = make_limits(2.0, now=-9.0)
--- a/libraries/placement/tests/test_widening.py
+++ b/libraries/placement/tests/test_widening.py
@@ -1,4 +1,4 @@
-"""Prompts that their cell can't serve in time find engines of other cells."""
+"""Tests of prompts that use engines of other cells if their own cannot serve them."""
 
 from random import Random
 
@@ -32,7 +32,7 @@
 
 
 def plan(need, known):
-    """Return the plan of a host whose cell has the near engines."""
+    """Return the plan of a host whose cell has the local engines."""
 
     def plan_among(names):
         return plan_prefill(need, names, known, MODEL, Random(1), True, DOMAINS, "near")
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("need", [LONG, SHORT])
 def test_a_prompt_goes_to_another_cell_where_its_own_is_read_full(need):
-    """Long prompts come in a burst; the next one waits while other cells idle."""
+    """Long prompts arrive in a burst; the next would wait while other cells idle."""
     known = dict.fromkeys(NEAR, READING)
     chosen = plan(need, known)
     assert set(chosen.prefill_engines) <= set(FAR)
@@ -55,7 +55,7 @@
 
 
 def test_a_prompt_stays_where_all_cells_are_as_full():
-    """What is known of other cells is older: a small gain there may be none."""
+    """Other cells' usage is known less exactly; a small gain there is not trusted."""
     known = dict.fromkeys([*NEAR, *FAR], READING)
     known["far3"] = EngineUsage(
         prefilling_requests=1, helper_parts=1, prefill_seconds=3.9
