--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -58,7 +58,7 @@
         self.publications.on_table.append(self._apply_limits)
         self.targets = TargetChooser(self.state, time.monotonic)
         self.peers.add_section(
-            SECTION, self.targets.build_digest, self.targets.take_digest
+            SECTION, self.targets.build_digest, self.targets.apply_digest
         )
         self.reservations = ReservationTask(self.state, reservation_client)
         self.targets.get_cell = self.cells.get
--- a/libraries/gateway/tarragonward_gateway/cell_gossip.py
+++ b/libraries/gateway/tarragonward_gateway/cell_gossip.py
@@ -43,7 +43,7 @@
         self._credit = float(c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND)
         self._credit_at = read_clock()
         chooser.usage.on_change.append(self._handle_prompt_change)
-        peers.add_section(SECTION, self._build, chooser.take_summary)
+        peers.add_section(SECTION, self._build, chooser.apply_summary)
 
     async def async_setup(self) -> None:
         """Start sending summaries."""
@@ -92,11 +92,11 @@
         members = self._peers.members
         if len(members.get_peers()) <= MAX_MESH_PEERS or not self._is_used():
             return []
-        mates = set(members.get_cell_peers())
+        cell_peers = set(members.get_cell_peers())
         return [
             peer.identity.address
             for peer in members.get_peers()
-            if not peer.is_leaving and peer.identity.address not in mates
+            if not peer.is_leaving and peer.identity.address not in cell_peers
         ]
 
     def _is_used(self) -> bool:
--- a/libraries/gateway/tarragonward_gateway/cells.py
+++ b/libraries/gateway/tarragonward_gateway/cells.py
@@ -47,7 +47,7 @@
             )
         self._cells[service] = now, new
         if new != cell:
-            self._update_mates()
+            self._update_cell_peers()
         return new
 
     def get_polling_order(self) -> PollingOrder:
@@ -60,10 +60,10 @@
             self._get_own_location(), self._list_hosts()
         )
         if self._polling_order.group != old.group:
-            self._update_mates()
+            self._update_cell_peers()
         return self._polling_order
 
-    def _update_mates(self) -> None:
+    def _update_cell_peers(self) -> None:
         names = set(self._polling_order.group)
         for _, cell in self._cells.values():
             names |= cell.hosts
--- a/libraries/gateway/tarragonward_gateway/limit_task.py
+++ b/libraries/gateway/tarragonward_gateway/limit_task.py
@@ -35,7 +35,7 @@
         self._outgoing: list[int] = []
         self._timer: asyncio.TimerHandle | None = None
         chooser.on_limit.append(self._handle_change)
-        peers.add_section(SECTION, self._build, self._take)
+        peers.add_section(SECTION, self._build, self._merge)
         state.metrics.add_gauge(
             "targets_limited", "name a limit", lambda: len(self._limits)
         )
@@ -74,5 +74,5 @@
         selected = self._outgoing or self._gossip.choose_next()
         return self._gossip.build(selected, read_clock()) or None
 
-    def _take(self, host: str, data: Any, age: float) -> None:
+    def _merge(self, host: str, data: Any, age: float) -> None:
         self._gossip.merge(data, age, read_clock())
--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -11,7 +11,7 @@
 from .context import ForwardContext
 from .reservations import Lease, ReservationTask
 from .state import GatewayState
-from .targets import SendChoice, TargetChooser, TargetNeed
+from .targets import SendChoice, TargetChooser, TargetRequirements
 
 __all__ = ["PlacedSend", "SendPlacer"]
 
@@ -92,7 +92,7 @@
         tried again after a random delay, which lets one host succeed first.
         """
         for attempt in range(c.MAX_RESERVATION_ATTEMPTS):
-            choice = self._chooser.choose(self.build_need(leader))
+            choice = self._chooser.choose(self.build_requirements(leader))
             if choice is None:
                 return None
             is_last = attempt + 1 == c.MAX_RESERVATION_ATTEMPTS
@@ -102,21 +102,21 @@
                 if not are_reached:
                     self._chooser.cancel_send(choice.target)
                     continue
-            if not choice.needs_tickets:
+            if not choice.needs_reservation:
                 return choice, None
             with self._chooser.track_in_flight(choice):
                 held = await self._reservations.async_reserve(choice)
             if isinstance(held, Lease):
                 return choice, held
             self._chooser.cancel_send(choice.target)
-            self._chooser.note_full(held)
+            self._chooser.mark_full(held)
             wait = c.RESERVATION_RETRY_SECONDS * 2**attempt
             await asyncio.sleep(self._state.random.random() * wait)
         return None
 
-    def build_need(self, leader: str = "") -> TargetNeed:
+    def build_requirements(self, leader: str = "") -> TargetRequirements:
         """Return the requirements on the next target."""
-        return TargetNeed(
+        return TargetRequirements(
             service=self._context.service,
             route=self._route,
             aim_at=self._compute_aim_at(),
--- a/libraries/gateway/tarragonward_gateway/probes.py
+++ b/libraries/gateway/tarragonward_gateway/probes.py
@@ -25,7 +25,7 @@
 __all__ = ["TargetProber"]
 
 TASK_NAME = "probes"
-EVIDENCE = {
+EVIDENCE_BY_FAULT = {
     SendFault.NOT_CONNECTED: Evidence.NOT_CONNECTED,
     SendFault.LOST: Evidence.LOST,
     SendFault.SPOILED: Evidence.SPOILED,
@@ -39,7 +39,7 @@
     def __init__(self, state: GatewayState, target_health: TargetHealthTracker) -> None:
         self._state = state
         self._target_health = target_health
-        self._probing: set[asyncio.Task[bool]] = set()
+        self._probe_tasks: set[asyncio.Task[bool]] = set()
         # By target: the connection attempt that shows whether it has ended.
         self._end_checks: dict[str, asyncio.Task[bool]] = {}
         self._background = BackgroundTasks(state.metrics)
@@ -52,10 +52,10 @@
     async def async_unload(self) -> None:
         """Stop probing."""
         await self._background.async_unload()
-        probing = [*self._probing, *self._end_checks.values()]
-        for task in probing:
+        tasks = [*self._probe_tasks, *self._end_checks.values()]
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*probing, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
 
     def record(self, target: RegisteredTarget, evidence: Evidence) -> None:
         """Record evidence on a target's health and log the changes that follow."""
@@ -76,7 +76,7 @@
 
     def record_failure(self, target: RegisteredTarget, fault: SendFault) -> None:
         """Record a failed send as evidence."""
-        evidence = EVIDENCE.get(fault)
+        evidence = EVIDENCE_BY_FAULT.get(fault)
         if evidence is not None:
             self.record(target, evidence)
 
@@ -111,8 +111,8 @@
     def check_in_background(self, target: RegisteredTarget) -> None:
         """Check a target that may be unreachable without waiting for the result."""
         task = asyncio.create_task(self.async_check([target]))
-        self._probing.add(task)
-        task.add_done_callback(self._probing.discard)
+        self._probe_tasks.add(task)
+        task.add_done_callback(self._probe_tasks.discard)
 
     async def async_has_ended(self, target: RegisteredTarget) -> bool:
         """Return whether a target that lost a connection refuses a new one.
@@ -139,8 +139,8 @@
             self._target_health.retain_only(registered)
             for target in self._target_health.take_due_probes(registered, read_clock()):
                 task = asyncio.create_task(self._async_probe(target))
-                self._probing.add(task)
-                task.add_done_callback(self._probing.discard)
+                self._probe_tasks.add(task)
+                task.add_done_callback(self._probe_tasks.discard)
 
     async def _async_probe(self, target: RegisteredTarget) -> bool:
         # A failed probe is no new evidence on an ejected target. If it counted, two
--- a/libraries/gateway/tarragonward_gateway/record_store.py
+++ b/libraries/gateway/tarragonward_gateway/record_store.py
@@ -54,7 +54,7 @@
                 self._forgotten_revision, batch.complete_revision
             )
             # Such items leave no record here. Without this, a peer that still has one
-            # would conclude from the equal latest_revision that it is up to date.
+            # would see no newer revision here and take its own data for confirmed.
             self.latest_revision = max(self.latest_revision, batch.complete_revision)
         if batch.is_snapshot or after <= self.complete_revision:
             self._raise_complete(batch.complete_revision)
@@ -79,8 +79,8 @@
             revision = known.revision
         else:
             # Old withdrawals are forgotten, and a delayed record must not bring such an
-            # item back. All changes up to complete_revision are applied, so an item
-            # that is missing was withdrawn by then.
+            # item back. All changes up to complete_revision are applied, so an older
+            # record of an item that is missing here precedes its withdrawal.
             revision = max(self.complete_revision, self._withdrawn.get(record.key, 0))
         if record.revision <= revision:
             return False
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -47,7 +47,7 @@
 from .headers import build_answer_headers, build_target_headers, parse_count
 from .heads import AnswerHeadCheck, SpoiledAnswerError
 from .idle_timeout import IdleTimeout, StreamMovedError, TargetSilentError
-from .moving import StreamMover
+from .moving import RequestMover
 from .observer import RequestObserver
 from .placing import SendPlacer
 from .reservations import ReservationTask
@@ -115,8 +115,8 @@
             _parse_token_counts(request.headers.get(state.headers.token_counts, "")),
         )
         self._head_check = AnswerHeadCheck(state.headers, self._request_id)
-        self._mover = StreamMover(
-            state, chooser, self._exchange, self._placer.build_need
+        self._mover = RequestMover(
+            state, chooser, self._exchange, self._placer.build_requirements
         )
         self._retry_counted_at: float | None = None
         self._idle_timeout: IdleTimeout | None = None
@@ -162,7 +162,7 @@
             self._retry_counted_at = (
                 self._mover.retry_at
                 if self._mover.is_moving
-                else self._state.record_repeat(service)
+                else self._state.record_retry(service)
             )
         if is_attempt_end:
             self._mover.is_moving = False
@@ -201,7 +201,7 @@
         if placed is None:
             self._observer.record_choice(None, tried=len(self._placer.tried))
             self._refund_retry()
-            wait = self._chooser.compute_wait(self._placer.build_need())
+            wait = self._chooser.compute_wait(self._placer.build_requirements())
             return self._handle_event(SendFailed(SendFault.NO_TARGET, wait))
         choice, lease = placed
         target = choice.target
@@ -335,7 +335,7 @@
             )
             # Without an alternative, a request that waits at a busy engine would be
             # abandoned with nowhere to go, and its caller told that it may have run.
-            need = self._placer.build_need()
+            need = self._placer.build_requirements()
             return may_send and self._chooser.find_alternative(need) is not None
 
         return IdleTimeout(
@@ -445,7 +445,7 @@
         if not choice.has_events:
             choice.has_events = True
             self._chooser.probes.record(choice.target, Evidence.ANSWERED)
-        self._chooser.note_events(choice, events)
+        self._chooser.record_events(choice, events)
 
     async def _async_forward_events(
         self, stream: HttpStream, events: list[StreamEvent]
--- a/libraries/gateway/tarragonward_gateway/state.py
+++ b/libraries/gateway/tarragonward_gateway/state.py
@@ -68,7 +68,7 @@
         hosts = self.count_sharing_hosts()
         return self.budget.can_retry(service, hosts, read_clock(), is_urgent)
 
-    def record_repeat(self, service: str) -> float:
+    def record_retry(self, service: str) -> float:
         """Charge the budget for a retry, without awaiting after can_retry().
 
         Return the time, which refunds a retry that is never sent.
--- a/libraries/gateway/tarragonward_gateway/suspect_task.py
+++ b/libraries/gateway/tarragonward_gateway/suspect_task.py
@@ -35,7 +35,7 @@
         self._outgoing: Iterable[bytes] = ()
         suspects.on_change.append(self._handle_change)
         suspects.is_isolated = lambda: peers.members.is_isolated
-        peers.add_section(SECTION, self._build, self._take)
+        peers.add_section(SECTION, self._build, self._merge)
 
     async def async_setup(self) -> None:
         """Start expiring old suspects."""
@@ -54,9 +54,9 @@
 
     def _handle_change(self, fingerprint: bytes) -> None:
         self._gossip.record_change(fingerprint, read_clock())
-        self._arm()
+        self._start_timer()
 
-    def _arm(self) -> None:
+    def _start_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -71,12 +71,12 @@
             self._outgoing = message.fingerprints
             self._peers.send_section_to(SECTION, message.hosts)
         self._outgoing = ()
-        self._arm()
+        self._start_timer()
 
     def _build(self) -> list[Any] | None:
         selected = self._outgoing or self._gossip.choose_next()
         return self._gossip.build(selected, read_clock()) or None
 
-    def _take(self, host: str, data: Any, age: float) -> None:
+    def _merge(self, host: str, data: Any, age: float) -> None:
         self._gossip.merge(data, age, read_clock())
-        self._arm()
+        self._start_timer()
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -34,7 +34,7 @@
 from .probes import TargetProber
 from .state import GatewayState
 
-__all__ = ["SECTION", "SendChoice", "TargetChooser", "TargetNeed"]
+__all__ = ["SECTION", "SendChoice", "TargetChooser", "TargetRequirements"]
 
 SECTION = "prompts"
 MAX_CACHED_ORDER_KEYS = 4_096
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class TargetNeed:
+class TargetRequirements:
     """Requirements of a send on its target.
 
     tokens are those of the prompt and of the answer, None if the request is no prompt.
@@ -77,7 +77,7 @@
     has_events: bool = False
     waiting_since: float | None = None
 
-    def note_first_event(self, now: float) -> None:
+    def record_first_event(self, now: float) -> None:
         """Record that the first event arrived, so the prefill is complete."""
         if self.work is not None and self.work.first_event_at is None:
             self.work.first_event_at = now
@@ -112,7 +112,7 @@
         )
 
     @property
-    def needs_tickets(self) -> bool:
+    def needs_reservation(self) -> bool:
         """Return whether memory has to be reserved on other engines."""
         return self.plan is not None and bool(self.plan.reserved_tokens)
 
@@ -144,13 +144,13 @@
         """Return this host's prompts in flight for the gossip to other hosts."""
         return self.usage.build_digest(self._clock())
 
-    def take_digest(self, host: str, data: Any, age_seconds: float) -> None:
+    def apply_digest(self, host: str, data: Any, age_seconds: float) -> None:
         """Apply another host's report of its prompts in flight."""
         self.usage.apply_digest(host, data, age_seconds, self._clock())
 
-    def choose(self, need: TargetNeed) -> SendChoice | None:
+    def choose(self, requirements: TargetRequirements) -> SendChoice | None:
         """Choose a target and record the send; return None if no target remains."""
-        choice = self.find(need)
+        choice = self.find(requirements)
         if choice is not None:
             self.target_health.start_trial(choice.target, read_clock())
             self.limits.record_send(hash_name(choice.target.id))
@@ -160,7 +160,7 @@
         """Undo the record of a send to a target that was chosen and sent nothing."""
         self.limits.refund_send(hash_name(target.id))
 
-    def compute_wait(self, need: TargetNeed) -> float | None:
+    def compute_wait(self, requirements: TargetRequirements) -> float | None:
         """Return the seconds until a rate-limited target accepts a request.
 
         None if no ready target of the service has a rate limit.
@@ -168,12 +168,12 @@
         now, view = read_clock(), self.get_host_view()
         waits = [
             self.limits.compute_wait(number, view, now)
-            for target in self._state.registry.get_ready(need.service)
+            for target in self._state.registry.get_ready(requirements.service)
             if self.limits.is_limited(number := hash_name(target.id))
         ]
         return min(*waits, MAX_LIMIT_WAIT_SECONDS) if waits else None
 
-    def find_alternative(self, need: TargetNeed) -> SendChoice | None:
+    def find_alternative(self, requirements: TargetRequirements) -> SendChoice | None:
         """Return a target to which a request that is already at one could move.
 
         An ejected target has no reported load, so it looks like the best choice. A
@@ -181,48 +181,50 @@
         for a dead one, return to a full queue, and be refused or aborted. Requests
         without a place in a queue show just as soon whether the target has recovered.
         """
-        choice = self.find(need)
+        choice = self.find(requirements)
         if choice is None or self.target_health.is_ejected(choice.target):
             return None
         return choice
 
-    def find(self, need: TargetNeed) -> SendChoice | None:
+    def find(self, requirements: TargetRequirements) -> SendChoice | None:
         """Return the target that a send would go to now, without recording a send."""
         ready = [
             target
-            for target in self._state.registry.get_ready(need.service)
-            if need.allows(target) and self._has_connection(target)
+            for target in self._state.registry.get_ready(requirements.service)
+            if requirements.allows(target) and self._has_connection(target)
         ]
         ready = self._filter_limited(ready)
         if not ready:
             return None
         now = read_clock()
         healthy = self.target_health.select(ready, now)
-        if need.leader:
+        if requirements.leader:
             # The leader is fixed even if it is ejected; its helpers must be healthy.
-            leaders = [target for target in ready if target.id == need.leader]
+            leaders = [target for target in ready if target.id == requirements.leader]
             if not leaders:
                 return None
-            others = (target for target in healthy if target.id != need.leader)
+            others = (target for target in healthy if target.id != requirements.leader)
             healthy = [*leaders, *others]
-        if need.is_suspect and not need.leader:
+        if requirements.is_suspect and not requirements.leader:
             healthy = self._choose_for_isolation(healthy)
-        elif self._isolated and not need.leader:
+        elif self._isolated and not requirements.leader:
             healthy = [t for t in healthy if t.id not in self._isolated] or healthy
-        choice = self._choose_among(healthy, need)
-        if choice is None and len(healthy) < len(ready) and not need.leader:
+        choice = self._choose_among(healthy, requirements)
+        if choice is None and len(healthy) < len(ready) and not requirements.leader:
             # A long prompt may need more engines than the healthy ones.
-            choice = self._choose_among(ready, need)
+            choice = self._choose_among(ready, requirements)
         return choice
 
     def _choose_among(
-        self, ready: Sequence[RegisteredTarget], need: TargetNeed
+        self, ready: Sequence[RegisteredTarget], requirements: TargetRequirements
     ) -> SendChoice | None:
         table = self._state.table
-        service = table.services.get(need.service) if table is not None else None
-        if need.tokens is None or service is None or service.engine is None:
+        service = (
+            table.services.get(requirements.service) if table is not None else None
+        )
+        if requirements.tokens is None or service is None or service.engine is None:
             return SendChoice(self._choose_least_busy(ready))
-        return self._plan(need, ready, service)
+        return self._plan(requirements, ready, service)
 
     def _filter_limited(self, ready: list[RegisteredTarget]) -> list[RegisteredTarget]:
         """Return the targets whose rate limits allow one more request of this host."""
@@ -304,15 +306,15 @@
             for on_prefill in list(self._prefill_callbacks.get(engine, ())):
                 on_prefill(known.get(engine, EngineUsage()))
 
-    def note_events(self, choice: SendChoice, events: int) -> None:
+    def record_events(self, choice: SendChoice, events: int) -> None:
         """Record that events of an answer arrived, and the decode pace they show."""
         now = self._clock()
-        choice.note_first_event(now)
+        choice.record_first_event(now)
         pace = choice.compute_pace(events, now)
         if pace is not None:
             self.usage.record_pass(choice.target.id, pace, now)
 
-    def note_full(self, target_id: str) -> None:
+    def mark_full(self, target_id: str) -> None:
         """Record that a target had no memory for a reservation."""
         self.usage.mark_full(target_id, self._clock())
 
@@ -339,12 +341,12 @@
         return self.limits.is_limited(hash_name(target_id))
 
     def _restrict_to_cell(
-        self, need: TargetNeed, ready: Sequence[RegisteredTarget]
+        self, requirements: TargetRequirements, ready: Sequence[RegisteredTarget]
     ) -> Sequence[RegisteredTarget]:
         """Return the engines of this host's cell, or all after a failed attempt."""
-        if self.get_cell is None or need.tried:
+        if self.get_cell is None or requirements.tried:
             return ready
-        cell = self.get_cell(need.service)
+        cell = self.get_cell(requirements.service)
         self.usage.announces_every_prompt = not cell.covers_fleet
         if cell.covers_fleet:
             return ready
@@ -372,24 +374,27 @@
                 summary |= self.usage.build_summary(cell.engines, self._clock())
         return summary or None
 
-    def take_summary(self, host: str, data: Any, age_seconds: float) -> None:
+    def apply_summary(self, host: str, data: Any, age_seconds: float) -> None:
         """Apply a report of a host of another cell on the engines of its cell."""
         self.usage.apply_summary(data, age_seconds, self._clock())
 
     def _plan(
-        self, need: TargetNeed, ready: Sequence[RegisteredTarget], service: Service
+        self,
+        requirements: TargetRequirements,
+        ready: Sequence[RegisteredTarget],
+        service: Service,
     ) -> SendChoice | None:
-        assert need.tokens is not None and service.engine is not None
+        assert requirements.tokens is not None and service.engine is not None
         now = self._clock()
         prompt = PromptRequirements(
-            prompt_tokens=need.tokens[0],
-            output_tokens=need.tokens[1],
-            aim_seconds=need.aim_at - now,
-            pause_aim_seconds=need.route.pause_aim_seconds,
-            leader=need.leader,
+            prompt_tokens=requirements.tokens[0],
+            output_tokens=requirements.tokens[1],
+            aim_seconds=requirements.aim_at - now,
+            pause_aim_seconds=requirements.route.pause_aim_seconds,
+            leader=requirements.leader,
         )
         by_id = {target.id: target for target in ready}
-        in_cell = [target.id for target in self._restrict_to_cell(need, ready)]
+        in_cell = [target.id for target in self._restrict_to_cell(requirements, ready)]
         known = self.usage.get_usage(now)
 
         def plan_among(names: Collection[str]) -> PrefillPlan | None:
@@ -405,7 +410,7 @@
             )
 
         plan = plan_among(in_cell)
-        if len(in_cell) < len(by_id) and self.allows_cross_cell(need.service):
+        if len(in_cell) < len(by_id) and self.allows_cross_cell(requirements.service):
             plan = widen_plan(plan, prompt, lambda: plan_among(by_id))
         if plan is not None and any(map(self._is_limited, plan.prefill_engines[1:])):
             # A target's rate limit does not count the prefill that it does for others.
--- a/libraries/gateway/tests/test_crashes.py
+++ b/libraries/gateway/tests/test_crashes.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from tarragonward_gateway.clock import read_clock
-from tarragonward_gateway.targets import TargetNeed
+from tarragonward_gateway.targets import TargetRequirements
 from tarragonward_requests import Verdict, fingerprint_request
 from tarragonward_standins import answer_with, async_reset
 
@@ -83,7 +83,7 @@
     """A third crash must end as little other work as can be."""
     site = await make_crashing_site(make_site, 3)
     chooser = site.chooser
-    need = TargetNeed("s", site.state.table.routes[0], 0.0)
+    need = TargetRequirements("s", site.state.table.routes[0], 0.0)
     with ExitStack() as stack:
         for _ in range(2):
             stack.enter_context(chooser.track_in_flight(chooser.choose(need)))
--- a/libraries/gateway/tests/test_moving.py
+++ b/libraries/gateway/tests/test_moving.py
@@ -33,7 +33,7 @@
         [],
         [[int(seconds * 1_000), aim, weight]],
     ]
-    site.chooser.take_digest("peer", {target: entry}, 0.0)
+    site.chooser.apply_digest("peer", {target: entry}, 0.0)
 
 
 def doubt_others(site, target_id):
@@ -98,7 +98,7 @@
         def read_everywhere():
             entry = [0, 0, 1, 0, 0, 300, [], [[300, 3_000, 200]]]
             digest = {target.id: entry for target in site.targets}
-            site.chooser.take_digest("peer", digest, 0.0)
+            site.chooser.apply_digest("peer", digest, 0.0)
 
         await begin_stream(read_everywhere)(request, writer)
 
