--- a/libraries/requests/tests/test_keys.py
+++ b/libraries/requests/tests/test_keys.py
@@ -10,7 +10,7 @@
 PREFIX = mint_key_prefix(OWNER, 1234, SECRET)
 
 
-def test_a_key_names_its_owner_and_the_time_of_its_prefix():
+def test_a_key_names_its_owner_and_its_mint_time():
     key = parse_key(f"{PREFIX}.booking.1", SECRET)
     assert (key.owner, key.minted_at) == (OWNER, 1234)
     assert key.text == f"{PREFIX}.booking.1"
@@ -32,8 +32,8 @@
         "\u00e9.AAAA.1",
     ],
 )
-def test_a_key_that_no_host_made_is_refused(text):
-    """A caller that could make prefixes could have hosts connect to any address."""
+def test_a_key_that_no_host_minted_is_rejected(text):
+    """A caller that could forge prefixes could make hosts connect to any address."""
     with pytest.raises(RequestRefusedError) as caught:
         parse_key(text, SECRET)
     assert caught.value.code is ResultCode.KEY_INVALID
--- a/libraries/requests/tests/test_ledger.py
+++ b/libraries/requests/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the owner's ledger of calls."""
+"""Tests of the call ledger."""
 
 import pytest
 
@@ -6,19 +6,19 @@
 from tarragonward_requests import CallLedger, RecordedAnswer, Reply, Send, Wait
 
 ANSWER = RecordedAnswer(200, "application/json", b"{}")
-LIMIT = 5.0
+TIME_LIMIT_SECONDS = 5.0
 
 
 @pytest.fixture(autouse=True)
-def strict(monkeypatch):
+def raise_on_violations(monkeypatch):
     monkeypatch.setattr(invariants, "strict", True)
 
 
 def accept(ledger, key="k", digest=b"d", minted_at=0, now=1.0):
-    return ledger.accept(key, digest, minted_at, now, now + LIMIT)
+    return ledger.accept(key, digest, minted_at, now, now + TIME_LIMIT_SECONDS)
 
 
-def run(ledger, key="k", now=1.0, answer=ANSWER):
+def run_call(ledger, key="k", now=1.0, answer=ANSWER):
     assert accept(ledger, key, now=now) == Send()
     assert ledger.mark_sent(key, now)
     return ledger.record_answer(key, answer, now)
@@ -26,11 +26,11 @@
 
 def test_a_repeat_gets_the_recorded_answer():
     ledger = CallLedger(60)
-    run(ledger)
+    run_call(ledger)
     assert accept(ledger, now=2) == Reply(ResultCode.OK, ANSWER)
 
 
-def test_another_body_under_the_same_key_is_refused():
+def test_a_different_body_under_the_same_key_is_refused():
     ledger = CallLedger(60)
     accept(ledger)
     assert accept(ledger, digest=b"e") == Reply(ResultCode.KEY_REUSED)
@@ -45,34 +45,33 @@
     assert not ledger.mark_sent("k", 1.0)
 
 
-def test_a_paused_owner_that_wakes_past_the_limit_does_not_send():
-    """The owner is paused between connecting and writing; the clerk has given up.
+def test_an_owner_paused_past_the_deadline_does_not_send():
+    """A process pause between connecting and writing lasts until after the deadline.
 
-    It wakes after the time limit with its connection open and would write next. The
-    check before the write finds the limit passed and leaves a tombstone, so that the
-    booking cannot appear after the clerk was told that it was not run.
+    The check before the write leaves a tombstone, so the call cannot run after the
+    caller was told that it did not.
     """
     ledger = CallLedger(60)
     accept(ledger)
-    assert not ledger.mark_sent("k", 1.0 + LIMIT)
+    assert not ledger.mark_sent("k", 1.0 + TIME_LIMIT_SECONDS)
     assert accept(ledger, now=7).code is ResultCode.CALL_NOT_RUN
     assert not ledger.mark_sent("k", 7)
 
 
-def test_a_repeat_that_looks_past_the_limit_makes_not_run_final():
+def test_a_repeat_that_reads_past_the_deadline_makes_not_run_final():
     ledger = CallLedger(60)
     accept(ledger)
-    assert ledger.read("k", 1.0 + LIMIT).code is ResultCode.CALL_NOT_RUN
+    assert ledger.read("k", 1.0 + TIME_LIMIT_SECONDS).code is ResultCode.CALL_NOT_RUN
     assert not ledger.mark_sent("k", 2.0)
 
 
-def test_a_copy_that_arrives_past_its_limit_leaves_a_tombstone():
+def test_a_copy_that_arrives_past_its_deadline_leaves_a_tombstone():
     ledger = CallLedger(60)
     assert ledger.accept("k", b"d", 0, 9, 9).code is ResultCode.CALL_NOT_RUN
     assert accept(ledger, now=9).code is ResultCode.CALL_NOT_RUN
 
 
-def test_not_run_is_never_said_of_a_call_that_was_sent():
+def test_not_run_is_never_reported_for_a_call_that_was_sent():
     ledger = CallLedger(60)
     accept(ledger)
     ledger.mark_sent("k", 1)
@@ -81,10 +80,10 @@
 
 
 def test_a_record_stays_while_its_call_is_in_flight_past_the_retention():
-    """The key grows too old while its call waits for a slow service.
+    """The key expires while its call waits for a slow service.
 
-    A ledger that goes by the key's age alone forgets the record under the call; the
-    answer then finds no record, and the repeat is told "expired" of a call that ran.
+    If records expired by the age of their key, the answer would find no record, and a
+    repeat would get "key expired" although the call ran.
     """
     ledger = CallLedger(60)
     ledger.accept("k", b"d", 0, 59, 200)
@@ -96,23 +95,23 @@
     assert len(ledger) == 0
 
 
-def test_new_calls_are_refused_past_the_bound_and_no_record_is_forgotten():
+def test_a_full_ledger_refuses_new_calls_and_keeps_its_records():
     ledger = CallLedger(60, max_records=2)
-    run(ledger, "a", now=1)
-    run(ledger, "b", now=3)
+    run_call(ledger, "a", now=1)
+    run_call(ledger, "b", now=3)
     refused = accept(ledger, "c", now=4)
     assert refused == Reply(ResultCode.OVERLOADED, retry_after_seconds=57)
     assert accept(ledger, "a", now=4).answer == ANSWER
 
 
-def test_a_key_refused_for_want_of_room_never_runs_later():
-    """Told "not run", the clerk books with a new key; then the old copy arrives.
+def test_a_key_refused_by_a_full_ledger_never_runs_later():
+    """After "not run" the caller uses a new key, then a copy of the old one arrives.
 
-    By then the ledger has room again. It keeps no record of what it refused, so it
-    must refuse all unknown keys of that age, or the booking doubles.
+    By then the ledger has room again. It has no record of the refused call, so it must
+    refuse all unknown keys of that age, or the call would run twice.
     """
     ledger = CallLedger(60, max_records=1)
-    run(ledger, "a", now=1)
+    run_call(ledger, "a", now=1)
     assert accept(ledger, "c", minted_at=10, now=12).code is ResultCode.OVERLOADED
     late = accept(ledger, "c", minted_at=10, now=62)
     assert late.code is ResultCode.CALL_NOT_RUN
@@ -134,17 +133,17 @@
     assert accept(ledger, "new", minted_at=1).code is ResultCode.OVERLOADED
 
 
-def test_an_answer_too_large_to_keep_says_that_the_call_has_run():
+def test_an_answer_too_large_to_record_is_reported_as_run():
     ledger = CallLedger(60)
     huge = RecordedAnswer(200, "text/plain", bytes(65 * 1024))
-    assert run(ledger, answer=huge).answer == huge
+    assert run_call(ledger, answer=huge).answer == huge
     assert accept(ledger) == Reply(ResultCode.ANSWER_NOT_KEPT)
     assert ResultCode.ANSWER_NOT_KEPT.conclusion is Conclusion.RUN
 
 
-def test_a_closed_ledger_answers_repeats_and_takes_nothing_new():
+def test_a_closed_ledger_answers_repeats_and_refuses_new_calls():
     ledger = CallLedger(60)
-    run(ledger)
+    run_call(ledger)
     ledger.close()
     assert accept(ledger).answer == ANSWER
     assert accept(ledger, "new").code is ResultCode.CALL_NOT_RUN
