--- a/libraries/placement/tests/test_cells.py
+++ b/libraries/placement/tests/test_cells.py
@@ -28,7 +28,7 @@
     assert len(cell.engines) == 24
 
 
-def test_cells_part_the_engines_of_a_domain_evenly():
+def test_cells_divide_the_engines_of_a_domain_evenly():
     hosts, engines = build_hosts(75), build_engines(69)
     cells = set(choose_all(hosts, engines).values())
     owners = Counter(engine for cell in cells for engine in cell.engines)
@@ -54,7 +54,7 @@
         assert choose_cell(host, hosts, engines).engines == near
 
 
-def test_mates_have_each_other_in_their_cells():
+def test_cell_membership_is_symmetric():
     cells = choose_all(build_hosts(320), build_engines(730))
     for host, cell in cells.items():
         assert host.name in cell.hosts
@@ -76,7 +76,7 @@
     assert used == {engine.name for engine in engines}
 
 
-def test_a_member_less_moves_only_hosts_at_the_borders_of_cells():
+def test_a_lost_member_moves_only_hosts_at_cell_boundaries():
     """A host dies; others learn of it at different times and still share engines."""
     hosts, engines = build_hosts(75), build_engines(69)
     near = [host for host in hosts if host.failure_domain == "a" and host != hosts[9]]
--- a/libraries/placement/tests/test_groups.py
+++ b/libraries/placement/tests/test_groups.py
@@ -48,25 +48,25 @@
     def free(self, engine):
         return ENGINES[engine] - sum(self.held[engine].values())
 
-    def start(self, host, tries):
+    def start(self, host, attempts):
         stale = [
             (name, self.random.choice((size, 300_000)))
             for name, size in ENGINES.items()
         ]
         members = plan_group(stale, NEED)
         if members is None:
-            self.at(0.1, self.start, host, tries)
+            self.at(0.1, self.start, host, attempts)
             return
         self.sequence += 1
-        group = GroupReservation(members, tries)
-        self.apply(host, f"{host}/{self.sequence}", group, tries, group.start())
+        group = GroupReservation(members, attempts)
+        self.apply(host, f"{host}/{self.sequence}", group, attempts, group.start())
 
-    def apply(self, host, name, group, tries, effects):
+    def apply(self, host, name, group, attempts, effects):
         for effect in effects:
             delay = 0.001 + self.random.random() / 100
             match effect:
                 case ReservePart(member):
-                    self.at(delay, self.reserve, host, name, group, tries, member)
+                    self.at(delay, self.reserve, host, name, group, attempts, member)
                 case ReleasePart(engine):
                     self.at(delay, self.held[engine].pop, name, None)
                 case GroupReady():
@@ -74,15 +74,15 @@
                     self.at(2.0, self.finish, host, name, group)
                 case RetryGroup(max_delay):
                     wait = max_delay * self.random.random()
-                    self.at(0.05 + wait, self.start, host, tries + 1)
+                    self.at(0.05 + wait, self.start, host, attempts + 1)
 
-    def reserve(self, host, name, group, tries, member):
+    def reserve(self, host, name, group, attempts, member):
         granted = member.tokens <= self.free(member.engine)
         if granted:
             self.held[member.engine][name] = member.tokens
         is_lost = self.random.random() < self.loss
         kind = ReservationGranted if granted and not is_lost else ReservationRefused
-        self.apply(host, name, group, tries, group.handle(kind(member.engine)))
+        self.apply(host, name, group, attempts, group.handle(kind(member.engine)))
 
     def finish(self, host, name, group):
         assert sum(name in held for held in self.held.values()) >= 3
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize(("hosts", "loss"), [(2, 0.0), (4, 0.0), (3, 0.2)])
-def test_contending_hosts_all_end_and_nothing_stays_held(seed, hosts, loss):
+def test_contending_hosts_all_finish_and_nothing_stays_reserved(seed, hosts, loss):
     """Hosts repeatedly and concurrently want more than half of the engines each.
 
     If a host waited while holding parts, two could hold half each for ever. Answers are
@@ -110,7 +110,7 @@
     assert all(not held for held in contest.held.values())
 
 
-def test_parts_are_asked_for_in_engine_order_and_a_late_answer_changes_nothing():
+def test_parts_are_requested_in_engine_order_and_a_late_answer_is_ignored():
     members = [GroupMember("b", 2), GroupMember("a", 1)]
     group = GroupReservation(members)
     assert group.start() == [ReservePart(members[1])]
--- a/libraries/placement/tests/test_limits.py
+++ b/libraries/placement/tests/test_limits.py
@@ -31,12 +31,12 @@
     if short:
         assert sum(shares.values()) == pytest.approx(100.0)
     for name in short:
-        mine = shares[name] / weights[name]
-        assert all(shares[n] / weights[n] <= mine + 1e-6 for n in names)
+        own_ratio = shares[name] / weights[name]
+        assert all(shares[n] / weights[n] <= own_ratio + 1e-6 for n in names)
 
 
 @pytest.mark.parametrize("is_cut_off", [False, True])
-def test_small_accounts_get_through_while_a_large_one_floods(is_cut_off):
+def test_small_accounts_are_admitted_while_a_large_one_floods(is_cut_off):
     """One account offers four times the fleet's capacity through every host.
 
     Each host knows its own part and the others' demand or, cut off, only its own. The
--- a/libraries/placement/tests/test_loads.py
+++ b/libraries/placement/tests/test_loads.py
@@ -12,7 +12,7 @@
     assert choose_loads(WANTED, ("b-0",), 3) == ["a-0", "c-0", "a-1"]
 
 
-def test_hosts_that_know_the_same_choose_the_same_and_end_with_all():
+def test_hosts_with_equal_views_choose_equally_until_all_are_loaded():
     loaded = set()
     while len(loaded) < len(WANTED):
         one = choose_loads(WANTED, loaded, 2)
--- a/libraries/placement/tests/test_outlook.py
+++ b/libraries/placement/tests/test_outlook.py
@@ -21,21 +21,21 @@
     usual_answer_tokens=46 * 30,
 )
 ENGINES = [f"e{number}" for number in range(10)]
-WRITING = EngineUsage(decoding_requests=6, weights={200: 9.0})
-READING = EngineUsage(prefill_seconds=2.0)
+DECODING = EngineUsage(decoding_requests=6, weights={200: 9.0})
+PREFILLING = EngineUsage(prefill_seconds=2.0)
 
 
 def forecast(busy=(), reading=(), seconds=2.0):
-    known = {name: WRITING for name in busy} | {name: READING for name in reading}
+    known = {name: DECODING for name in busy} | {name: PREFILLING for name in reading}
     return forecast_short_prompts(ENGINES, known, MODEL, seconds)
 
 
-def test_a_reading_costs_nothing_while_the_rest_has_room():
+def test_a_prefill_costs_nothing_while_other_engines_have_slots():
     outlook = forecast(busy=ENGINES[:3])
     assert outlook.compute_loss(ENGINES[3:], 2.0) == 0.0
 
 
-def test_a_reading_that_leaves_one_engine_costs_most_of_what_comes():
+def test_a_prefill_that_leaves_one_engine_makes_most_arrivals_late():
     """Eighteen short prompts decode; a long one would prefill on nine of ten engines.
 
     The last engine has seven slots. More than half of the short prompts that arrive
@@ -43,16 +43,16 @@
     """
     outlook = forecast(busy=ENGINES[:3])
     loss = outlook.compute_loss(ENGINES[1:], 2.0)
-    coming = outlook.weight_per_second * 2.0
-    assert coming / 2 < loss < coming
+    arriving = outlook.weight_per_second * 2.0
+    assert arriving / 2 < loss < arriving
 
 
-def test_what_is_short_of_room_already_is_not_the_readings_cost():
+def test_an_existing_lack_of_slots_is_not_charged_to_the_prefill():
     outlook = forecast(busy=ENGINES[:3], reading=ENGINES[1:])
     assert outlook.compute_loss(ENGINES[1:], 2.0) == 0.0
 
 
-def test_more_readers_cost_more_and_longer_ones_too():
+def test_more_engines_and_longer_prefills_cost_more():
     outlook = forecast(busy=ENGINES[:4])
     losses = [outlook.compute_loss(ENGINES[:count], 2.0) for count in (6, 8, 10)]
     assert losses == sorted(losses)
@@ -60,13 +60,13 @@
     assert outlook.compute_loss(ENGINES, 4.0) == pytest.approx(2 * losses[-1])
 
 
-def test_those_who_bear_the_pause_cost_nothing():
+def test_requests_that_tolerate_the_pause_cost_nothing():
     assert forecast(busy=ENGINES, seconds=0.1).compute_loss(ENGINES, 0.1) == 0.0
     assert ShortPromptForecast().compute_loss(ENGINES, 9.0) == 0.0
 
 
-def test_a_usual_answer_that_is_not_published_is_no_fault():
-    known = {"e0": WRITING}
+def test_an_unpublished_usual_answer_length_is_accepted():
+    known = {"e0": DECODING}
     outlook = forecast_short_prompts(
         ENGINES, known, replace(MODEL, usual_answer_tokens=0), 2
     )
--- a/libraries/placement/tests/test_placement.py
+++ b/libraries/placement/tests/test_placement.py
@@ -54,7 +54,7 @@
     )
 
 
-def test_work_that_the_report_does_not_know_counts():
+def test_prompts_placed_since_the_report_count():
     """Two prompts arrive between two reports, which say that both engines are idle.
 
     The first prompt goes to one engine. As the report is unchanged, only the host's own
@@ -76,7 +76,7 @@
     assert placement.place(make_request(), views, 10.0).engines == ("a",)
 
 
-def test_what_cannot_end_in_time_is_refused_at_once():
+def test_a_request_that_cannot_finish_in_time_is_refused_at_once():
     placement = Placement(Random(1))
     refused = placement.place(
         make_request(prompt=3_000, answer=1_000, remaining=5.0), [make_view("a")], 0.0
@@ -86,7 +86,7 @@
     assert placement.in_flight == 0
 
 
-def test_nothing_is_refused_on_a_guess():
+def test_nothing_is_refused_for_time_without_a_report():
     """A host has just started and has not read a report yet.
 
     The assumed prefill rate is low, so its first long prompt would be refused although
@@ -103,7 +103,7 @@
     assert refused.code is ResultCode.PROMPT_TOO_LONG
 
 
-def test_a_prompt_too_long_only_for_the_engines_in_reach_may_come_back():
+def test_a_prompt_too_long_only_for_the_available_engines_may_be_retried():
     """Two of three engines are excluded or leaving when a long prompt arrives.
 
     All three could hold it. Refused as too long, the caller would give up on a request
@@ -157,7 +157,7 @@
     assert index.count_cached_tokens("a", hashes) == 512
 
 
-def test_a_cached_prefix_draws_prompts_but_not_into_a_queue():
+def test_a_cached_prefix_attracts_prompts_unless_its_engine_has_a_queue():
     hashes = tuple(range(4))
     placement = Placement(Random(1))
     placement.prefixes.update("c", [CacheUpdate(1, added=tuple(enumerate(hashes)))])
--- a/libraries/placement/tests/test_readings.py
+++ b/libraries/placement/tests/test_readings.py
@@ -53,7 +53,7 @@
     return chosen
 
 
-def build_short_writers(count: int) -> EngineUsage:
+def build_engine_with_short_prompts(count: int) -> EngineUsage:
     """Return an engine that decodes this many short prompts."""
     return EngineUsage(
         decoding_requests=count,
@@ -63,33 +63,36 @@
     )
 
 
-def test_short_prompts_share_an_engine_with_short_writers() -> None:
+def test_short_prompts_are_packed_with_short_prompts() -> None:
     """Engines that decode no short prompts stay free for long prefills."""
     assert plan(SHORT).prefill_engines == ("e00",)
-    assert plan(SHORT, {"e00": build_short_writers(3)}).leader in ("e00", "e01")
+    assert plan(SHORT, {"e00": build_engine_with_short_prompts(3)}).leader in (
+        "e00",
+        "e01",
+    )
 
 
 def test_full_engine_gets_no_more_short_prompts() -> None:
     """A prompt beyond the engine's slots would wait for an answer to end."""
-    assert plan(SHORT, {"e00": build_short_writers(8)}).leader != "e00"
+    assert plan(SHORT, {"e00": build_engine_with_short_prompts(8)}).leader != "e00"
 
 
-def test_long_prompt_spares_the_writers_that_bear_no_pause() -> None:
+def test_long_prompt_avoids_requests_that_tolerate_no_pause() -> None:
     """One long prefill delays the next event of a decoding request by seconds."""
-    known = {name: build_short_writers(4) for name in ENGINES[:4]}
+    known = {name: build_engine_with_short_prompts(4) for name in ENGINES[:4]}
     readers = plan(LONG, known).prefill_engines
     assert len(readers) > 1
     assert not set(readers) & set(known)
 
 
-def test_joint_reading_comes_within_the_aim() -> None:
+def test_parallel_prefill_meets_the_aim() -> None:
     """A prompt that takes too long on one engine is prefilled by several."""
     longest = PromptRequirements(400_000, 800, 3.0, 0.8)
     assert MODEL.compute_read_seconds(400_000) > 3.0
     assert plan(longest).first_event_seconds < 3.0
 
 
-def test_short_prompt_avoids_an_engine_that_reads_a_long_one() -> None:
+def test_short_prompt_avoids_an_engine_with_a_long_prefill() -> None:
     """The short prompt would be queued behind the long prefill."""
     known = {
         "e00": EngineUsage(
@@ -135,7 +138,7 @@
     assert plan_prefill(huge, ENGINES[:2], {}, MODEL, Random(1)) is None
 
 
-def test_host_that_hears_no_peer_spreads_short_prompts() -> None:
+def test_host_without_hints_spreads_short_prompts() -> None:
     """Hosts that pack without knowing of each other would choose the same engine."""
     leaders = {
         plan_prefill(SHORT, ENGINES, {}, MODEL, Random(seed), False).leader  # type: ignore[union-attr]
@@ -144,107 +147,107 @@
     assert len(leaders) > len(ENGINES) / 2
 
 
-def test_book_counts_own_work_until_it_ends() -> None:
+def test_tracker_counts_own_prompts_until_they_end() -> None:
     """The prefill shrinks with time and is over at the first event."""
-    book = FleetUsageTracker()
+    tracker = FleetUsageTracker()
     chosen = plan(LONG)
     work = chosen.build_work(LONG, now=10.0)
-    book.begin(work)
-    known = book.get_usage(10.0)
+    tracker.begin(work)
+    known = tracker.get_usage(10.0)
     assert set(known) == set(chosen.prefill_engines)
     assert known[chosen.leader].prefill_seconds == pytest.approx(chosen.part_seconds)
     assert known[chosen.leader].held_tokens == LONG.memory_tokens
     assert known[chosen.prefill_engines[-1]].helper_parts == 1
     work.first_event_at = 11.0
-    assert book.get_usage(11.0)[chosen.leader].decoding_requests == 1
-    assert book.get_usage(11.0)[chosen.leader].prefill_seconds == 0
-    book.end(work)
-    assert book.get_usage(11.0) == {}
+    assert tracker.get_usage(11.0)[chosen.leader].decoding_requests == 1
+    assert tracker.get_usage(11.0)[chosen.leader].prefill_seconds == 0
+    tracker.end(work)
+    assert tracker.get_usage(11.0) == {}
 
 
-def test_digest_of_a_peer_counts_and_ages() -> None:
+def test_digest_of_a_peer_counts_and_expires() -> None:
     """A hint counts for what is left of it, and then expires."""
-    peer, book = FleetUsageTracker(), FleetUsageTracker()
+    peer, tracker = FleetUsageTracker(), FleetUsageTracker()
     chosen = plan(LONG)
     peer.begin(chosen.build_work(LONG, now=10.0))
     digest = msgpack.unpackb(msgpack.packb(peer.build_digest(10.0)))
-    book.apply_digest("peer", digest, age=0.1, now=50.0)
-    seen = book.get_usage(50.0)[chosen.leader]
+    tracker.apply_digest("peer", digest, age=0.1, now=50.0)
+    seen = tracker.get_usage(50.0)[chosen.leader]
     assert seen.prefilling_requests == 1
     assert seen.prefill_seconds == pytest.approx(chosen.part_seconds - 0.1, abs=0.002)
     assert seen.weights == {800: 22.0}
-    assert book.has_fresh_hints(50.0)
-    assert book.get_usage(60.0) == {}
-    assert not book.has_fresh_hints(60.0)
+    assert tracker.has_fresh_hints(50.0)
+    assert tracker.get_usage(60.0) == {}
+    assert not tracker.has_fresh_hints(60.0)
 
 
 @pytest.mark.parametrize(
     "data", [None, [], {"e00": 3}, {"e00": [1]}, {"e00": [0, 0, 0, 0, 0, 0, 3, 3]}]
 )
-def test_digest_that_is_none_changes_nothing(data: object) -> None:
+def test_malformed_digest_is_ignored(data: object) -> None:
     """A peer of another version may send anything."""
-    book = FleetUsageTracker()
-    book.apply_digest("peer", data, age=0.0, now=1.0)
-    assert book.get_usage(1.0) == {}
+    tracker = FleetUsageTracker()
+    tracker.apply_digest("peer", data, age=0.0, now=1.0)
+    assert tracker.get_usage(1.0) == {}
 
 
 def test_engine_counts_stand_in_for_peers_that_are_not_heard() -> None:
     """Requests beyond the host's own are assumed to be decoding."""
-    book = FleetUsageTracker()
-    book.record_request_count("e00", 5, now=1.0)
-    assert book.get_usage(1.0)["e00"].decoding_requests == 5
-    assert book.get_usage(5.0) == {}
+    tracker = FleetUsageTracker()
+    tracker.record_request_count("e00", 5, now=1.0)
+    assert tracker.get_usage(1.0)["e00"].decoding_requests == 5
+    assert tracker.get_usage(5.0) == {}
 
 
-def test_counts_of_engines_that_are_gone_are_forgotten_beside_peers() -> None:
+def test_counts_of_removed_engines_expire_while_peers_are_heard() -> None:
     """An engine has a new id at each start, so old counts would accumulate."""
-    book = FleetUsageTracker()
-    book.apply_digest("peer", {}, age=0.0, now=9.0)
-    book.record_request_count("e00", 5, now=1.0)
-    book.get_usage(9.0)
-    assert not book._counts
+    tracker = FleetUsageTracker()
+    tracker.apply_digest("peer", {}, age=0.0, now=9.0)
+    tracker.record_request_count("e00", 5, now=1.0)
+    tracker.get_usage(9.0)
+    assert not tracker._counts
 
 
-def test_peers_are_told_at_once_of_a_long_reading_only() -> None:
+def test_peers_are_notified_at_once_of_long_prefills_only() -> None:
     """Until they know of it, they send short prompts to its engines."""
-    book = FleetUsageTracker()
-    told: list[int] = []
-    book.on_change.append(lambda is_long: told.append(1))
-    book.begin(plan(SHORT).build_work(SHORT, now=1.0))
-    assert not told
-    book.begin(plan(LONG).build_work(LONG, now=1.0))
-    assert told
+    tracker = FleetUsageTracker()
+    notified: list[int] = []
+    tracker.on_change.append(lambda is_long: notified.append(1))
+    tracker.begin(plan(SHORT).build_work(SHORT, now=1.0))
+    assert not notified
+    tracker.begin(plan(LONG).build_work(LONG, now=1.0))
+    assert notified
 
 
-def test_mates_that_are_told_seldom_are_told_of_each_prompt_at_once() -> None:
+def test_peers_with_rare_rounds_are_notified_of_each_prompt_at_once() -> None:
     """A large cell has rare rounds; between two of them, all would pick one engine."""
-    book = FleetUsageTracker()
-    book.announces_every_prompt = True
-    told: list[int] = []
-    book.on_change.append(lambda is_long: told.append(1))
-    book.begin(plan(SHORT).build_work(SHORT, now=1.0))
-    assert told
+    tracker = FleetUsageTracker()
+    tracker.announces_every_prompt = True
+    notified: list[int] = []
+    tracker.on_change.append(lambda is_long: notified.append(1))
+    tracker.begin(plan(SHORT).build_work(SHORT, now=1.0))
+    assert notified
 
 
-def test_an_engine_that_passes_show_to_be_slow_is_spared() -> None:
+def test_an_engine_with_slow_passes_is_avoided() -> None:
     """The engine's passes take six times the published time, for all its requests.
 
     One late event, or the prefill of another prompt, does not make an engine slow. A
     slow engine is tried again after it was not observed for a while.
     """
-    book = FleetUsageTracker()
+    tracker = FleetUsageTracker()
     for number in range(c.SLOWDOWN_SAMPLES):
-        book.record_pass("e00", 6.0, now=1.0)
-        book.record_pass("e01", 6.0 if number % 2 else 1.1, now=1.0)
-    known = book.get_usage(1.0)
+        tracker.record_pass("e00", 6.0, now=1.0)
+        tracker.record_pass("e01", 6.0 if number % 2 else 1.1, now=1.0)
+    known = tracker.get_usage(1.0)
     assert known["e00"].slowdown == 6.0
     assert "e01" not in known
     two = ENGINES[:2]
     assert plan(SHORT, known, two).leader == "e01"
-    assert book.get_usage(1.1 + c.MAX_SLOWDOWN_AGE_SECONDS) == {}
+    assert tracker.get_usage(1.1 + c.MAX_SLOWDOWN_AGE_SECONDS) == {}
 
 
-def test_a_slow_reader_makes_a_joint_reading_longer() -> None:
+def test_a_slow_engine_makes_a_parallel_prefill_longer() -> None:
     """Its part of the prefill ends later in proportion to its slowdown."""
     slow = {name: EngineUsage(slowdown=4.0) for name in ENGINES}
     first = plan(LONG, slow).first_event_seconds
@@ -254,7 +257,7 @@
     ).isdisjoint({"e03"})
 
 
-def test_an_engine_that_is_settled_answers_among_many() -> None:
+def test_a_fixed_leader_is_kept_among_many_engines() -> None:
     """A helper refuses in a fleet of hundreds, so the prompt returns to its leader.
 
     Only a sample of the engines is considered. If the leader were not always in it, no
@@ -267,7 +270,7 @@
     assert plan_prefill(gone, many, {}, MODEL, Random(1)) is None
 
 
-def test_a_huge_prompt_leaves_engines_for_those_who_come_meanwhile() -> None:
+def test_a_huge_prompt_leaves_engines_for_arriving_short_prompts() -> None:
     """No number of engines prefills a huge prompt in time, amid a burst of short ones.
 
     Prefilled by all engines but one for two seconds, it left 86 short prompts to the
@@ -275,7 +278,7 @@
     in the cost (a day of 18 engines, 542 short prompts). So engines stay free for them.
     """
     engines = [f"e{number:02}" for number in range(18)]
-    known = {name: build_short_writers(6) for name in engines[:8]}
+    known = {name: build_engine_with_short_prompts(6) for name in engines[:8]}
     huge = PromptRequirements(620_000, 800, 3.0, 1.0)
     slow = replace(
         MODEL,
--- a/libraries/placement/tests/test_summaries.py
+++ b/libraries/placement/tests/test_summaries.py
@@ -10,63 +10,63 @@
 CELL = ("e1", "e2", "e3")
 
 
-def make_book(*readers, seconds=1.0, now=0.0):
+def make_tracker(*readers, seconds=1.0, now=0.0):
     """Return the tracker of a host that sent a long prompt to these engines."""
-    book = FleetUsageTracker()
+    tracker = FleetUsageTracker()
     if readers:
         until = dict.fromkeys(readers, seconds)
         plan = PrefillPlan(readers, seconds, until, seconds, 0.0)
-        book.begin(plan.build_work(LONG, now))
-    return book
+        tracker.begin(plan.build_work(LONG, now))
+    return tracker
 
 
-def tell(book, now=0.0):
-    return msgpack.unpackb(msgpack.packb(book.build_summary(CELL, now)))
+def pack_summary(tracker, now=0.0):
+    return msgpack.unpackb(msgpack.packb(tracker.build_summary(CELL, now)))
 
 
-def test_a_summary_tells_of_all_that_a_host_knows_of_its_cell():
+def test_a_summary_has_all_that_a_host_knows_of_its_cell():
     """Another cell's long prompt must not be prefilled where short ones decode."""
-    book, peer = make_book("e1"), make_book("e2")
-    book.apply_digest("peer", peer.build_digest(0.0), 0.0, 0.0)
-    far = make_book()
-    far.apply_summary(tell(book), 0.0, 0.0)
+    tracker, peer = make_tracker("e1"), make_tracker("e2")
+    tracker.apply_digest("peer", peer.build_digest(0.0), 0.0, 0.0)
+    far = make_tracker()
+    far.apply_summary(pack_summary(tracker), 0.0, 0.0)
     known = far.get_usage(0.2)
     assert known["e1"].prefill_seconds == pytest.approx(0.8)
     assert known["e2"].requests == 1
     assert not known["e3"].requests
 
 
-def test_what_is_told_twice_of_an_engine_counts_once():
+def test_usage_that_is_reported_twice_counts_once():
     """A prefill is reported at once, and again in the summary of the engine's cell."""
-    reader, near, far = make_book("e1"), make_book(), make_book()
+    reader, near, far = make_tracker("e1"), make_tracker(), make_tracker()
     near.apply_digest("reader", reader.build_digest(0.0), 0.0, 0.0)
     far.apply_digest("reader", reader.build_digest(0.0), 0.0, 0.0)
-    far.apply_summary(tell(near), 0.0, 0.0)
+    far.apply_summary(pack_summary(near), 0.0, 0.0)
     known = far.get_usage(0.1)["e1"]
     assert (known.requests, known.prefill_seconds) == (1, pytest.approx(0.9))
 
 
 def test_an_older_summary_does_not_replace_a_newer_one():
-    far = make_book()
-    far.apply_summary(tell(make_book("e1")), 0.0, 1.0)
-    far.apply_summary(tell(make_book()), 0.5, 1.0)
+    far = make_tracker()
+    far.apply_summary(pack_summary(make_tracker("e1")), 0.0, 1.0)
+    far.apply_summary(pack_summary(make_tracker()), 0.5, 1.0)
     assert far.get_usage(1.0)["e1"].requests == 1
-    far.apply_summary(tell(make_book()), 0.0, 1.1)
+    far.apply_summary(pack_summary(make_tracker()), 0.0, 1.1)
     assert not far.get_usage(1.1)["e1"].requests
 
 
-def test_a_summary_is_not_told_on():
+def test_a_summary_is_not_forwarded():
     """Two hosts count an engine as theirs, and repeat to each other what has ended."""
-    one, other = make_book("e1"), make_book()
-    other.apply_summary(tell(one), 0.0, 0.0)
+    one, other = make_tracker("e1"), make_tracker()
+    other.apply_summary(pack_summary(one), 0.0, 0.0)
     assert other.get_usage(0.1)["e1"].requests == 1
-    assert tell(other, 0.1) == {engine: [] for engine in CELL}
+    assert pack_summary(other, 0.1) == {engine: [] for engine in CELL}
 
 
-def test_summaries_are_forgotten_once_they_are_old():
+def test_summaries_expire():
     """A cell that is cut off sends no summaries, so its engines count as unknown."""
-    far = make_book()
-    far.apply_summary(tell(make_book("e1", seconds=9.0)), 0.0, 0.0)
+    far = make_tracker()
+    far.apply_summary(pack_summary(make_tracker("e1", seconds=9.0)), 0.0, 0.0)
     assert "e1" in far.get_usage(c.MAX_HINT_AGE_SECONDS)
     assert "e1" not in far.get_usage(c.MAX_HINT_AGE_SECONDS + 0.1)
 
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("data", [None, [1], {"e1": [1, 2]}, {"e1": "word"}])
 def test_a_malformed_summary_changes_nothing(data):
     """A host of another version may have sent it."""
-    far = make_book()
+    far = make_tracker()
     with pytest.raises((AttributeError, TypeError, ValueError)):
         far.apply_summary(data, 0.0, 0.0)
     assert not far.get_usage(0.0)
--- a/libraries/placement/tests/test_target_limits.py
+++ b/libraries/placement/tests/test_target_limits.py
@@ -32,36 +32,38 @@
 
 @pytest.mark.parametrize("hosts", [1, 2, 7, 9, 195, 320])
 @pytest.mark.parametrize("rate", [0.05, 0.3, 1.0, 2.5, 40.0, 1_000.0])
-def test_parts_add_up_to_no_more_than_the_rate_and_some_are_served(hosts, rate):
+def test_shares_add_up_to_nearly_the_rate_and_never_more(hosts, rate):
     known = name_hosts(hosts)
-    parts = [compute_host_share(TARGET, rate, HostView(h, known, hosts)) for h in known]
-    assert 0.8 * rate < sum(parts) <= rate
+    shares = [
+        compute_host_share(TARGET, rate, HostView(h, known, hosts)) for h in known
+    ]
+    assert 0.8 * rate < sum(shares) <= rate
     # The saved allowances of all hosts, and what they accrue in a window.
-    saved = sum(part > 0 for part in parts)
-    assert saved + sum(parts) * WINDOW <= count_allowed(rate)
+    saved = sum(part > 0 for part in shares)
+    assert saved + sum(shares) * WINDOW <= count_allowed(rate)
 
 
 @pytest.mark.parametrize("rate", [0.3, 1.0, 40.0])
-def test_hosts_that_believe_in_different_fleets_stay_within_the_rule(rate):
+def test_hosts_with_different_views_stay_within_the_rule(rate):
     """Each side of a cut drops the other from its view, but not from the host count."""
-    hosts, parts = 195, []
+    hosts, shares = 195, []
     for first, count in ((0, 150), (150, 45)):
         known = name_hosts(count, first)
-        parts += [
+        shares += [
             compute_host_share(TARGET, rate, HostView(h, known, hosts)) for h in known
         ]
-    saved = sum(part > 0 for part in parts)
-    assert saved + sum(parts) * WINDOW <= count_allowed(rate)
+    saved = sum(part > 0 for part in shares)
+    assert saved + sum(shares) * WINDOW <= count_allowed(rate)
 
 
-def test_a_host_that_knows_few_of_many_uses_no_target_that_takes_little():
+def test_a_host_that_knows_few_hosts_uses_no_target_with_a_low_limit():
     """Otherwise a host that has just started would take the whole limit for itself."""
     view = HostView("h1", name_hosts(3), 195)
     assert compute_host_share(TARGET, 1.0, view) == 0.0
 
 
 @pytest.mark.parametrize("rate", [0.3, 1.0, 8.0])
-def test_hosts_that_send_all_they_may_stay_within_the_rule(rate):
+def test_hosts_that_use_their_whole_allowance_stay_within_the_rule(rate):
     known = name_hosts(9)
     hosts = {name: make_limits(rate, seed=n) for n, name in enumerate(known)}
     sent = []
@@ -76,7 +78,7 @@
     assert len(sent) > 0.6 * rate * 40.0
 
 
-def test_a_limit_ends_when_the_target_names_none():
+def test_a_limit_ends_when_the_target_advertises_none():
     limits = make_limits(0.1)
     view = HostView("h0", name_hosts(1), 1)
     limits.may_send(TARGET, view, 1.0)
@@ -88,24 +90,24 @@
     assert not len(limits)
 
 
-def test_the_newest_word_counts_in_whatever_order_it_comes():
+def test_the_newest_entry_wins_in_any_order():
     """Entries that arrive out of order must not restore a limit that has ended."""
     entries = [LimitEntry(TARGET, 1.0, 3.0), LimitEntry(TARGET, None, 1.0)]
-    for told in (entries, entries[::-1]):
+    for entries_in_order in (entries, entries[::-1]):
         limits = make_limits(2.0, now=-9.0)
-        for entry in told:
+        for entry in entries_in_order:
             limits.apply_entry(entry, 0.0)
         assert not limits.is_limited(TARGET)
 
 
-def test_news_is_told_once():
+def test_only_a_changed_limit_is_reported_as_new():
     limits = make_limits(1.0)
     assert not limits.record_advertised(TARGET, 1.0, 1.0)
     assert limits.record_advertised(TARGET, 2.0, 2.0)
     assert not limits.record_advertised(8, None, 2.0)
 
 
-def test_what_was_not_sent_is_given_back():
+def test_a_request_that_was_not_sent_is_refunded():
     limits = make_limits(0.01)
     view = HostView("h0", name_hosts(1), 1)
     limits.may_send(TARGET, view, 1_000.0)
@@ -114,7 +116,7 @@
     assert limits.may_send(TARGET, view, 1_000.0)
 
 
-def test_targets_that_are_gone_are_forgotten():
+def test_limits_of_removed_targets_are_forgotten():
     limits = make_limits(1.0)
     limits.keep_only({TARGET}, 999.0)
     assert limits.is_limited(TARGET)
@@ -122,7 +124,7 @@
     assert not limits.is_limited(TARGET)
 
 
-def test_an_entry_travels_whole():
+def test_an_entry_survives_packing():
     for entry in (LimitEntry(7, 0.25, 1.5), LimitEntry(7, None, 0.0)):
         assert LimitEntry.unpack(entry.pack()) == entry
 
--- a/libraries/placement/tests/test_widening.py
+++ b/libraries/placement/tests/test_widening.py
@@ -25,10 +25,10 @@
 )
 LONG = PromptRequirements(260_000, 700, 4.0, 1.0)
 SHORT = PromptRequirements(5_000, 500, 0.3, 0.25)
-NEAR = [f"near{number}" for number in range(20)]
-FAR = [f"far{number}" for number in range(20)]
-READING = EngineUsage(prefilling_requests=1, helper_parts=1, prefill_seconds=4.0)
-DOMAINS = dict.fromkeys(NEAR, "near") | dict.fromkeys(FAR, "far")
+LOCAL = [f"near{number}" for number in range(20)]
+REMOTE = [f"far{number}" for number in range(20)]
+PREFILLING = EngineUsage(prefilling_requests=1, helper_parts=1, prefill_seconds=4.0)
+DOMAINS = dict.fromkeys(LOCAL, "near") | dict.fromkeys(REMOTE, "far")
 
 
 def plan(need, known):
@@ -37,33 +37,33 @@
     def plan_among(names):
         return plan_prefill(need, names, known, MODEL, Random(1), True, DOMAINS, "near")
 
-    return widen_plan(plan_among(NEAR), need, lambda: plan_among([*NEAR, *FAR]))
+    return widen_plan(plan_among(LOCAL), need, lambda: plan_among([*LOCAL, *REMOTE]))
 
 
 def test_a_prompt_that_its_cell_serves_in_time_stays_there():
-    assert set(plan(LONG, {}).prefill_engines) <= set(NEAR)
-    assert set(plan(SHORT, {}).prefill_engines) <= set(NEAR)
+    assert set(plan(LONG, {}).prefill_engines) <= set(LOCAL)
+    assert set(plan(SHORT, {}).prefill_engines) <= set(LOCAL)
 
 
 @pytest.mark.parametrize("need", [LONG, SHORT])
-def test_a_prompt_goes_to_another_cell_where_its_own_is_read_full(need):
+def test_a_prompt_uses_another_cell_if_its_own_is_busy(need):
     """Long prompts arrive in a burst; the next would wait while other cells idle."""
-    known = dict.fromkeys(NEAR, READING)
+    known = dict.fromkeys(LOCAL, PREFILLING)
     chosen = plan(need, known)
-    assert set(chosen.prefill_engines) <= set(FAR)
+    assert set(chosen.prefill_engines) <= set(REMOTE)
     assert chosen.first_event_seconds < need.aim_seconds
 
 
-def test_a_prompt_stays_where_all_cells_are_as_full():
+def test_a_prompt_stays_if_all_cells_are_equally_busy():
     """Other cells' usage is known less exactly; a small gain there is not trusted."""
-    known = dict.fromkeys([*NEAR, *FAR], READING)
+    known = dict.fromkeys([*LOCAL, *REMOTE], PREFILLING)
     known["far3"] = EngineUsage(
         prefilling_requests=1, helper_parts=1, prefill_seconds=3.9
     )
-    assert set(plan(SHORT, known).prefill_engines) <= set(NEAR)
+    assert set(plan(SHORT, known).prefill_engines) <= set(LOCAL)
 
 
-def test_no_engine_near_is_no_reason_to_refuse():
-    wide = plan_prefill(LONG, FAR, {}, MODEL, Random(1))
-    assert widen_plan(None, LONG, lambda: wide) is wide
-    assert widen_plan(wide, LONG, lambda: None) is wide
+def test_a_cell_without_engines_is_no_reason_to_refuse():
+    fleet_plan = plan_prefill(LONG, REMOTE, {}, MODEL, Random(1))
+    assert widen_plan(None, LONG, lambda: fleet_plan) is fleet_plan
+    assert widen_plan(fleet_plan, LONG, lambda: None) is fleet_plan
