--- a/libraries/bench/tarragonward_bench/hearing/host.py
+++ b/libraries/bench/tarragonward_bench/hearing/host.py
@@ -474,7 +474,7 @@
             return
         now, address = self._world.now, hello.identity.address
         if self._suspended > self._noted:
-            self.members.note_suspended(self._suspended - self._noted, now)
+            self.members.record_suspension(self._suspended - self._noted, now)
             self._noted = self._suspended
         known = self.members.get_peer(address)
         last_timestamp = known.last_timestamp if known is not None else -1
--- a/libraries/gateway/tarragonward_gateway/peers.py
+++ b/libraries/gateway/tarragonward_gateway/peers.py
@@ -225,7 +225,7 @@
             read_suspended_seconds(),
         )
         if self._suspended_seconds - before > c.MIN_SUSPENDED_SECONDS:
-            self.members.note_suspended(self._suspended_seconds - before, now)
+            self.members.record_suspension(self._suspended_seconds - before, now)
 
     def _report_pause(self, seconds: float) -> None:
         log_event("pause_noticed", seconds=seconds)
--- a/libraries/membership/tarragonward_membership/__init__.py
+++ b/libraries/membership/tarragonward_membership/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions, without I/O, about which hosts are there and what they tell each other."""
+"""Decide, without I/O, which hosts and targets are up and what hosts gossip."""
 
 from .demands import OTHER_ACCOUNTS
 from .encoding import hash_name
@@ -49,20 +49,18 @@
 from .watchers import choose_hosts
 
 __all__ = [
-    "hash_name",
     "OTHER_ACCOUNTS",
-    "RequestIndirectProbe",
     "Effect",
     "Event",
     "Gossip",
     "GossipReceived",
-    "SendHello",
     "Hello",
     "HelloReceived",
-    "IndirectProbeAnswered",
+    "HostListRead",
     "IndirectAck",
     "IndirectProbe",
-    "HostListRead",
+    "IndirectProbeAnswered",
+    "KnownPeer",
     "ListedHost",
     "ListedTarget",
     "LoadReport",
@@ -79,11 +77,12 @@
     "ProbeFailed",
     "RecordState",
     "RegisteredTarget",
+    "RequestIndirectProbe",
     "RoundDue",
     "SeedEffect",
     "SeedMembership",
-    "KnownPeer",
     "SendAnswer",
+    "SendHello",
     "SendProbe",
     "TargetList",
     "TargetRegistry",
@@ -92,4 +91,5 @@
     "build_boot_id",
     "choose_hosts",
     "get_round_seconds",
+    "hash_name",
 ]
--- a/libraries/membership/tarragonward_membership/const.py
+++ b/libraries/membership/tarragonward_membership/const.py
@@ -74,7 +74,7 @@
 # Gossip between cell peers stays within a failure domain, so it may use more.
 FLEET_GOSSIP_BYTES_PER_SECOND = 400_000
 FLEET_CELL_GOSSIP_BYTES_PER_SECOND = 3_200_000
-# Interval at which rounds resend to cell peers that are more than MAX_MESH_PEERS.
+# With more cell peers than MAX_MESH_PEERS, rounds resend to each to repair losses.
 CELL_REFRESH_SECONDS = 2.0
 # Immediate updates may overdraw the byte credit by this many seconds of its rate.
 MAX_CELL_DEBT_SECONDS = 1.0
@@ -86,7 +86,7 @@
 MAX_SEED_PEERS = 4_096
 SEED_RETRY_SECONDS = 1.0
 SEED_STARTUP_SECONDS = 3.0
-# Silence after which a peer is removed; longer in large fleets, where word of each peer
+# Silence after which a peer is removed; longer in large fleets, where word of each one
 # arrives less often.
 PEER_TIMEOUT_SECONDS = 3.0
 PEER_TIMEOUT_SECONDS_PER_PEER = 0.1
--- a/libraries/membership/tarragonward_membership/hellos.py
+++ b/libraries/membership/tarragonward_membership/hellos.py
@@ -57,15 +57,15 @@
     """What a host announces about itself, and some of the peers that it knows.
 
     timestamp is the sender's monotonic clock in microseconds. It orders the hellos of
-    one incarnation and shows how much longer than usual one was delayed. hosts is the
-    highest number of hosts that the sender has counted recently.
+    one incarnation and shows how much longer than usual one was delayed. host_count is
+    the highest number of hosts that the sender has counted recently.
     """
 
     identity: HostIdentity
     name: str
     failure_domain: str
     timestamp: int
-    hosts: int = 1
+    host_count: int = 1
     is_leaving: bool = False
     entries: tuple[PeerEntry, ...] = ()
 
@@ -76,7 +76,7 @@
             self.name,
             self.failure_domain,
             self.timestamp,
-            self.hosts,
+            self.host_count,
             self.is_leaving,
             [entry.pack() for entry in self.entries],
         )
@@ -85,11 +85,16 @@
     def unpack(cls, sender: Address, item: Any) -> Hello:
         """Decode a hello from its wire format; raise FrameError if it is malformed."""
         try:
-            incarnation, name, domain, timestamp, hosts, is_leaving, entries = item
-            _check_integers(incarnation, timestamp, hosts)
+            incarnation, name, domain, timestamp, host_count, is_leaving, entries = item
+            _check_integers(incarnation, timestamp, host_count)
             _check_names(name, domain)
-            if type(is_leaving) is not bool or not 0 < hosts <= c.MAX_SEED_PEERS + 1:
-                raise ValueError("is_leaving is not a boolean or hosts is out of range")
+            if (
+                type(is_leaving) is not bool
+                or not 0 < host_count <= c.MAX_SEED_PEERS + 1
+            ):
+                raise ValueError(
+                    "is_leaving is not a boolean or host_count is out of range"
+                )
             if not isinstance(entries, list) or len(entries) > c.MAX_HELLO_ENTRIES:
                 raise ValueError("entries is not a list or is too long")
         except (ValueError, TypeError) as err:
@@ -99,7 +104,7 @@
             name,
             domain,
             timestamp,
-            hosts,
+            host_count,
             is_leaving,
             tuple(PeerEntry.unpack(entry) for entry in entries),
         )
--- a/libraries/membership/tarragonward_membership/loads.py
+++ b/libraries/membership/tarragonward_membership/loads.py
@@ -72,7 +72,7 @@
         """Return the encoded reports for one message to the own or another domain.
 
         Each report is sent a bounded number of times. Other domains only get reports
-        of this domain's targets, as their own hosts have newer ones of the rest.
+        of this domain's targets, as they have newer reports of their own.
         """
         due = [
             (key, held)
--- a/libraries/membership/tarragonward_membership/members.py
+++ b/libraries/membership/tarragonward_membership/members.py
@@ -1,4 +1,4 @@
-"""Keep the known state of the other hosts, and tell which are available."""
+"""Keep the known state of the other hosts and list those available."""
 
 from __future__ import annotations
 
--- a/libraries/membership/tarragonward_membership/messages.py
+++ b/libraries/membership/tarragonward_membership/messages.py
@@ -11,15 +11,14 @@
 from tarragonward_core import Address, FrameError, HostIdentity
 
 __all__ = [
-    "RequestIndirectProbe",
     "Effect",
     "Event",
     "Gossip",
     "GossipReceived",
-    "IndirectProbeAnswered",
+    "HostListRead",
     "IndirectAck",
     "IndirectProbe",
-    "HostListRead",
+    "IndirectProbeAnswered",
     "ListedHost",
     "Member",
     "MemberChanged",
@@ -29,6 +28,7 @@
     "ProbeAnswered",
     "ProbeFailed",
     "RecordState",
+    "RequestIndirectProbe",
     "SendAnswer",
     "SendProbe",
     "Tick",
--- a/libraries/membership/tarragonward_membership/registry.py
+++ b/libraries/membership/tarragonward_membership/registry.py
@@ -53,7 +53,7 @@
     slots: int
     is_ready: bool
     revision: int
-    cold_seconds: float = 0.0
+    cold_start_remaining_seconds: float = 0.0
     name: str = ""
     incarnation: int | None = None
 
--- a/libraries/membership/tarragonward_membership/seeds.py
+++ b/libraries/membership/tarragonward_membership/seeds.py
@@ -14,15 +14,15 @@
 from .hellos import Hello, PeerEntry
 
 __all__ = [
-    "SendHello",
     "HelloReceived",
+    "KnownPeer",
     "PeerFound",
     "PeerLost",
     "RoundDue",
     "SeedEffect",
     "SeedEvent",
     "SeedMembership",
-    "KnownPeer",
+    "SendHello",
 ]
 
 MICROSECONDS_PER_SECOND = 1_000_000
@@ -36,7 +36,7 @@
     host reports it. min_delay is the lowest difference seen between the receiver's
     clock and a hello's timestamp; it includes the offset between the two clocks, and
     may be too high by up to delay_uncertainty_seconds. times_sent counts the hellos
-    that reported the peer since word of it was last new.
+    that reported the peer since there was last newer information about it.
     """
 
     identity: HostIdentity
@@ -158,7 +158,7 @@
         """Handle an event and return its effects; now is in monotonic seconds."""
         return _handle(event, self, now)
 
-    def note_suspended(self, seconds: float, now: float) -> None:
+    def record_suspension(self, seconds: float, now: float) -> None:
         """Record that the host was suspended for this long and has just resumed."""
         self._resumed_at = now
         self._suspended_seconds = seconds
@@ -207,7 +207,7 @@
 
         Shared limits are divided by this count. A host that is partitioned or has just
         started knows few others and would take too large a share. So the count includes
-        what peers report, is never lower than the number of seeds, and is assumed to be
+        what peers report, is never lower than the number of seeds, and is at least
         STARTUP_HOSTS_PER_SEED times that for HOST_COUNT_STARTUP_SECONDS after start.
         """
         floor = self._seed_count
@@ -216,7 +216,7 @@
         return max(floor, self.get_max_known_host_count(now))
 
     def get_max_known_host_count(self, now: float) -> int:
-        """Return the highest recent host count without the assumption at start."""
+        """Return the highest recent host count without the minimum during start-up."""
         counted = self._max_counted_hosts.get(now), self._max_reported_hosts.get(now)
         return max(self._seed_count, self.count_hosts(), *counted)
 
@@ -267,7 +267,7 @@
         if hello.timestamp <= known.last_timestamp:
             return effects
         self._update_peer(known, hello, now)
-        self._max_reported_hosts.record(hello.hosts, now)
+        self._max_reported_hosts.record(hello.host_count, now)
         for entry in hello.entries:
             effects += self._apply_entry(entry, now)
         self._max_counted_hosts.record(self.count_hosts(), now)
@@ -384,7 +384,7 @@
         return tuple(chosen)
 
     def set_cell_peers(self, addresses: Collection[Address]) -> None:
-        """Set the cell peers, which also large fleets send to in each round."""
+        """Set the cell peers, which the rounds also reach in a large fleet."""
         if set(addresses) != set(self._cell_peers):
             self._cell_peers = tuple(sorted(addresses))
             self._cell_peers_sent_at = {
@@ -404,7 +404,7 @@
         elapsed: float,
         now: float,
     ) -> tuple[Address, ...]:
-        """Return the cell peers to send brief hellos, which get no full one this round.
+        """Return the cell peers that get a brief hello, as they get no full one now.
 
         Cell peers need each other's sections often. The entries of other hosts are most
         of a full hello's bytes and spread without these messages. In a very large fleet
--- a/libraries/membership/tests/test_seeds.py
+++ b/libraries/membership/tests/test_seeds.py
@@ -280,7 +280,7 @@
         other.build_hello(network.now + 3.0),
     )
     resumed_at = network.now + 2.0
-    one.note_suspended(2.0, resumed_at)
+    one.record_suspension(2.0, resumed_at)
     one.handle(HelloReceived(delayed), resumed_at)
     peer = one.get_peer(other.own.address)
     assert one.compute_age(peer, delayed.timestamp, resumed_at) == pytest.approx(2.0)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -188,7 +188,7 @@
     target = DocumentParser().parse_target(record)
     assert (target.id, target.revision, target.is_ready) == ("i-1", 4, False)
     assert target.address == Address("10.0.0.1", 80)
-    assert target.cold_seconds == 0.25
+    assert target.cold_start_remaining_seconds == 0.25
 
 
 def test_a_configuration_is_a_routing_table():
