--- a/libraries/requests/tarragonward_requests/const.py
+++ b/libraries/requests/tarragonward_requests/const.py
@@ -42,8 +42,9 @@
 MIN_SEND_SECONDS = 0.02
 FORWARD_RETRY_AFTER_SECONDS = 0.25
 
-# Retry budget shared by all hosts. Three quarters plus twice an eighth: a host that
-# restarts twice within a window stays within its part of the slack.
+# Retry budget shared by all hosts. BUDGET_SLACK_SHARE and twice the share of the first
+# window add up to 1, so that a host which restarts twice within a window stays within
+# its part of the slack.
 BUDGET_BUCKETS_PER_WINDOW = 20
 BUDGET_SAFETY_FACTOR = 0.9
 # How much later one retry may arrive at its target than another sent with it.
--- a/libraries/requests/tarragonward_requests/events.py
+++ b/libraries/requests/tarragonward_requests/events.py
@@ -49,7 +49,7 @@
             start = end.end()
         self._partial = buffered[start:]
         if len(self._partial) > MAX_EVENT_BYTES:
-            raise ValueError("event is too large: no end within 1 MiB")
+            raise ValueError("event is too large: no end within the size limit")
         return events
 
 
--- a/libraries/requests/tarragonward_requests/lifecycle.py
+++ b/libraries/requests/tarragonward_requests/lifecycle.py
@@ -94,12 +94,12 @@
         # Several faults can occur within milliseconds, and immediate retries would use
         # up the attempts before any engine could answer. So only the first failovers
         # are immediate, and later ones back off exponentially.
-        number = self._attempts_without_progress
+        exponent = self._attempts_without_progress
         if fault is not AttemptFault.REFUSED:
-            number -= c.IMMEDIATE_FAILOVERS
-        if number < 0:
+            exponent -= c.IMMEDIATE_FAILOVERS
+        if exponent < 0:
             return 0.0
-        return min(c.RETRY_BACKOFF_SECONDS * 2**number, c.RETRY_BACKOFF_MAX_SECONDS)
+        return min(c.RETRY_BACKOFF_SECONDS * 2**exponent, c.RETRY_BACKOFF_MAX_SECONDS)
 
     def _compute_failover_cost(self) -> float:
         # The next engine repeats the work of the last one. If the last stream never
--- a/libraries/requests/tarragonward_requests/outliers.py
+++ b/libraries/requests/tarragonward_requests/outliers.py
@@ -51,7 +51,7 @@
 
 @singledispatch
 def compute_ejection_seconds(policy: EjectionPolicy, ejections: int) -> float:
-    """Return the seconds for which a target's nth ejection lasts; the first is 1."""
+    """Return how many seconds a target's ejection lasts; ejections counts it too."""
     raise TypeError(f"unknown ejection policy: {policy!r}")
 
 
--- a/libraries/requests/tarragonward_requests/retries.py
+++ b/libraries/requests/tarragonward_requests/retries.py
@@ -66,6 +66,6 @@
         return self._buckets[-1]
 
     def _expire(self, now: float) -> None:
-        oldest = int(now) - self._window_seconds
-        while self._buckets and self._buckets[0].number <= oldest:
+        window_start = int(now) - self._window_seconds
+        while self._buckets and self._buckets[0].number <= window_start:
             self._buckets.popleft()
--- a/libraries/requests/tarragonward_requests/shared_budget.py
+++ b/libraries/requests/tarragonward_requests/shared_budget.py
@@ -33,11 +33,11 @@
     """One host's part of the limit: a share of its own requests and of the slack.
 
     The parts of all hosts add up to at most the limit, so no host has to know what the
-    others send. An incarnation uses three quarters of the host's part of the slack, and
-    one eighth during its first window. It does not know what earlier incarnations sent,
-    but even with two restarts within one window they stay within the part together.
-    Requests are counted in the window that ends now and reduced by a safety factor, as
-    the limit applies to any window around them.
+    others send. An incarnation uses a share of the host's part of the slack, and a
+    smaller one during its first window. It does not know what earlier incarnations
+    sent, but even after two restarts within one window they stay within the part
+    together. Requests are counted in the window that ends now and reduced by a safety
+    factor, as the limit applies to any window around them.
     """
 
     def __init__(self, bounds: RetryBudgetBounds, now: float) -> None:
@@ -111,18 +111,20 @@
         return c.BUDGET_SAFETY_FACTOR * (bounds.share * requests + slack)
 
     def _count_requests(self, service: str, now: float) -> int:
-        oldest = (now - self.bounds.window_seconds) / self._bucket_seconds
+        first_bucket = (now - self.bounds.window_seconds) / self._bucket_seconds
         buckets = self._get_usage(service).buckets
-        while buckets and buckets[0][0] < oldest:
+        while buckets and buckets[0][0] < first_bucket:
             buckets.popleft()
         return sum(count for _, count in buckets)
 
     def _count_retries(self, service: str, now: float) -> int:
         # Delivery times vary, so retries sent a window apart may arrive within one
         # window at the target.
-        oldest = now - self.bounds.window_seconds - c.BUDGET_ARRIVAL_JITTER_SECONDS
+        window_start = (
+            now - self.bounds.window_seconds - c.BUDGET_ARRIVAL_JITTER_SECONDS
+        )
         retries = self._get_usage(service).retries
-        while retries and retries[0] < oldest:
+        while retries and retries[0] < window_start:
             retries.popleft()
         return len(retries)
 
--- a/libraries/requests/tarragonward_requests/suspects.py
+++ b/libraries/requests/tarragonward_requests/suspects.py
@@ -59,12 +59,14 @@
         """Parse the result of pack(); raise ValueError if it is malformed."""
         fingerprint, size, crashes, cleared, idle, attempt = item
         if type(fingerprint) is not bytes or len(fingerprint) != FINGERPRINT_BYTES:
-            raise ValueError("fingerprint must be 8 bytes")
+            raise ValueError("fingerprint has the wrong type or length")
         numbers = (size, idle, attempt, *crashes, *cleared)
         if not all(type(n) is int and 0 <= n < MAX_INTEGER for n in numbers):
-            raise ValueError("numbers must be integers from 0 to 2**62 - 1")
+            raise ValueError("number is not an integer or out of range")
         if len(crashes) > c.MAX_CRASHES_PER_SUSPECT or not set(cleared) <= set(crashes):
-            raise ValueError("at most 8 crashes, and cleared ones must be among them")
+            raise ValueError(
+                "too many crashes, or cleared targets that are not among them"
+            )
         return cls(
             fingerprint,
             size,
@@ -125,7 +127,7 @@
     """Requests under which targets crashed, by fingerprint; times in seconds.
 
     Every request in progress on a target that crashes becomes a suspect, so a single
-    crash is weak evidence. A request is refused after its third crashed target. Any
+    crash is weak evidence. A request with enough crashed targets is refused. Any
     complete answer clears it, as a request that crashes its targets never gets one.
     Entries from peers are merged as a set union, so reordered, lost or duplicated
     messages only delay convergence. Memory is bounded: the suspects with the fewest
--- a/libraries/requests/tarragonward_requests/sweep.py
+++ b/libraries/requests/tarragonward_requests/sweep.py
@@ -48,7 +48,7 @@
 @dataclass
 class _Owner:
     status: OwnerStatus = OwnerStatus.ALIVE
-    since: float = 0.0
+    grace_started_at: float = 0.0
     grace_factor: int = 1
     first_seen: dict[tuple[str, str], float] = field(default_factory=dict)
 
@@ -66,8 +66,10 @@
         # were cancelled, its requests would never end. A resource taken since contact
         # was lost proves it alive, and the grace time starts anew and is doubled.
         # Reports lag: what appears within the lag may be older than the owner's end.
-        if any(first > self.since + lag for first in self.first_seen.values()):
-            self.since, self.grace_factor = now, self.grace_factor * 2
+        if any(
+            first > self.grace_started_at + lag for first in self.first_seen.values()
+        ):
+            self.grace_started_at, self.grace_factor = now, self.grace_factor * 2
 
     def is_gone(self, now: float) -> bool:
         if self.status is OwnerStatus.ALIVE:
@@ -75,7 +77,7 @@
         grace = GRACE_SECONDS[self.status]
         if self.status is not OwnerStatus.REPLACED and self.grace_factor > 1:
             grace = c.OWNER_UNREACHABLE_GRACE_SECONDS * self.grace_factor
-        return now - self.since >= min(grace, c.OWNER_MAX_GRACE_SECONDS)
+        return now - self.grace_started_at >= min(grace, c.OWNER_MAX_GRACE_SECONDS)
 
 
 class OrphanSweep:
@@ -88,7 +90,8 @@
 
     def __init__(self, identity: HostIdentity) -> None:
         # How much older a resource may be than its first report: the lag of the
-        # engine's report, plus the interval between sweeps if that is long.
+        # engine's report. Whoever reads the reports adds the interval between the
+        # reads.
         self.lag_seconds = c.ENGINE_REPORT_LAG_SECONDS
         self._identity = identity
         self._owners: dict[HostIdentity, _Owner] = {}
@@ -104,7 +107,7 @@
         """Record the result of a probe of an owner."""
         owner = self._owners.get(identity)
         if owner is not None and owner.status is not status:
-            owner.status, owner.since = status, now
+            owner.status, owner.grace_started_at = status, now
 
     def process_reports(
         self,
@@ -122,16 +125,18 @@
         by_owner = self._group_by_owner(held)
         own = by_owner.pop(self._identity, [])
         for identity in by_owner.keys() - self._owners.keys():
-            self._owners[identity] = _Owner(since=now)
-        cancels = self._find_own_orphans(own, reported, active_ids, now)
+            self._owners[identity] = _Owner(grace_started_at=now)
+        to_cancel = self._find_own_orphans(own, reported, active_ids, now)
         for identity, owner in list(self._owners.items()):
             resources = by_owner.get(identity, [])
             owner.update_held(resources, reported, now, self.lag_seconds)
             if not owner.first_seen:
                 del self._owners[identity]
             elif owner.is_gone(now):
-                cancels += [m for m in resources if m.held_id not in active_ids]
-        return cancels
+                to_cancel += [
+                    item for item in resources if item.held_id not in active_ids
+                ]
+        return to_cancel
 
     def _group_by_owner(
         self, items: Iterable[HeldResource]
@@ -153,9 +158,9 @@
         now: float,
     ) -> list[HeldResource]:
         # A cancellation that a frozen engine does not accept is abandoned after a
-        # while, which would leak memory as long as this host lives. A resource that
-        # this host has not known for some seconds is an orphan; the delay covers report
-        # lag.
+        # while, which would leak memory as long as this host lives. So a resource that
+        # this host has not known for the grace time is an orphan; the grace time covers
+        # the lag of reports.
         orphans = [item for item in resources if item.held_id not in active_ids]
         self._orphans_first_seen = _merge_first_seen(
             self._orphans_first_seen, orphans, reported, now
