--- a/libraries/gateway/tests/test_following.py
+++ b/libraries/gateway/tests/test_following.py
@@ -1,4 +1,4 @@
-"""When the source and the peers are asked, on a fake clock."""
+"""Tests of when the source and the peers are queried, on a fake clock."""
 
 import random
 
@@ -40,7 +40,7 @@
     return follower
 
 
-def test_all_is_read_first_and_after_lost_history(follower):
+def test_full_read_at_start_and_after_lost_history(follower):
     assert follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.0) == ReadAll()
     follower.handle(SourceAnswered(False), 10, HOSTS, 0.1)
     assert isinstance(follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.1), Watch)
@@ -48,7 +48,7 @@
     assert follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 0.2) == ReadAll()
 
 
-def test_more_hosts_wait_longer_each(watching):
+def test_watches_are_longer_in_larger_fleet(watching):
     watching.handle(SourceAnswered(False), 10, HOSTS, 1.0)
     assert watching.choose_step(PollingOrder(1, 0), NO_AGE, 1.0) == Watch(
         c.MIN_WATCH_SECONDS
@@ -61,11 +61,11 @@
     )
 
 
-def test_watches_that_a_change_woke_end_one_after_the_other(follower):
-    """A change wakes all watches at once, and they would all end at once again.
+def test_watches_after_change_are_staggered(follower):
+    """A change ends all watches at once; new ones of equal length would end together.
 
-    In between nobody could tell whether an unknown route is new: callers are told
-    to come back, and a store that has died in silence is noticed late.
+    In between no host could tell whether an unknown route is new, callers would be
+    told to retry, and a store that fails silently would be noticed late.
     """
     follower.handle(SourceAnswered(True), 10, HOSTS, 1.0)
     steps = [
@@ -77,7 +77,7 @@
     assert ends == pytest.approx(slots)
 
 
-def test_changes_in_a_crowd_are_fetched_together(watching):
+def test_burst_of_changes_is_fetched_together(watching):
     watching.handle(SourceAnswered(True), 11, HOSTS, 2.0)
     step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0)
     assert step.seconds == pytest.approx(c.CHANGE_DELAY_SECONDS)
@@ -86,69 +86,68 @@
     assert step.seconds == pytest.approx(c.CHANGE_BURST_DELAY_SECONDS)
 
 
-def test_a_dead_watch_shows_by_a_peer_that_is_ahead(watching):
-    """A watch's connection goes silent without a reset; a change goes unheard.
+def test_peer_ahead_reveals_dead_watch(watching):
+    """The connection of a watch is lost without a reset, so a change is missed.
 
-    Its own time-out is seconds away, the bound for changes two. A peer tells a newer
-    revision; a moment later, as this host's watch stays silent, both are asked.
+    The watch times out only seconds later, but changes must apply within two seconds. A
+    peer reports a newer revision; if the watch stays silent, both are queried.
     """
-    told = PeerReported("peer", 12, 0.1)
-    assert watching.handle(told, 10, HOSTS, 5.0) == []
-    assert watching.handle(told, 10, HOSTS, 5.3) == []
+    report = PeerReported("peer", 12, 0.1)
+    assert watching.handle(report, 10, HOSTS, 5.0) == []
+    assert watching.handle(report, 10, HOSTS, 5.3) == []
     late = 5.0 + c.BEHIND_GRACE_SECONDS
-    assert watching.handle(told, 10, HOSTS, late) == [
+    assert watching.handle(report, 10, HOSTS, late) == [
         PullFromPeer("peer"),
         QuerySource(),
     ]
-    assert watching.handle(told, 10, HOSTS, late + 0.1) == []
+    assert watching.handle(report, 10, HOSTS, late + 0.1) == []
 
 
-def test_all_is_read_after_a_watch_that_was_cut(watching):
-    """A request runs by a table that was replaced four seconds ago, on all hosts.
+def test_full_read_after_failed_watch(watching):
+    """The store misses a change, drops its history and closes all watches.
 
-    The store hears nothing of changes for a second, drops its history and cuts the
-    watches. A new watch from the old revision waits in silence: the change before it
-    is in no history, and shows only when the next one comes.
+    A new watch from the old revision does not return the lost change until another one
+    follows, so hosts would use a replaced table for seconds.
     """
     watching.handle(SourceFailed(), 10, HOSTS, 2.0)
     assert watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 9.0) == ReadAll()
 
 
-def test_all_is_read_after_an_answer_that_passes_over_a_change(watching):
+def test_full_read_after_gap_in_answer(watching):
     watching.handle(SourceAnswered(False, is_gap=True), 12, HOSTS, 2.0)
     assert watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0) == ReadAll()
     watching.handle(SourceAnswered(False), 12, HOSTS, 2.1)
     assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.1), Watch)
 
 
-def test_a_change_that_its_own_watch_brings_asks_nobody(watching):
-    told = PeerReported("peer", 12, 0.1)
-    watching.handle(told, 10, HOSTS, 5.0)
+def test_change_from_own_watch_causes_no_query(watching):
+    report = PeerReported("peer", 12, 0.1)
+    watching.handle(report, 10, HOSTS, 5.0)
     watching.handle(SourceAnswered(True), 12, HOSTS, 5.1)
-    assert watching.handle(told, 12, HOSTS, 6.0) == [MarkConfirmed(0.1)]
+    assert watching.handle(report, 12, HOSTS, 6.0) == [MarkConfirmed(0.1)]
 
 
-def test_a_host_that_the_source_refuses_asks_a_peer_at_once(watching):
+def test_host_refused_by_source_asks_peer_at_once(watching):
     watching.handle(SourceFailed(), 10, HOSTS, 2.0)
-    told = PeerReported("peer", 12, float("inf"))
-    assert watching.handle(told, 10, HOSTS, 2.1) == [PullFromPeer("peer")]
+    report = PeerReported("peer", 12, float("inf"))
+    assert watching.handle(report, 10, HOSTS, 2.1) == [PullFromPeer("peer")]
 
 
-def test_a_host_that_starts_beside_a_dead_source_asks_a_peer(follower):
+def test_starting_host_asks_peer_if_source_fails(follower):
     follower.handle(SourceFailed(), 0, HOSTS, 0.5)
-    told = PeerReported("peer", 12, float("inf"))
-    assert follower.handle(told, 0, HOSTS, 0.6) == [PullFromPeer("peer")]
+    report = PeerReported("peer", 12, float("inf"))
+    assert follower.handle(report, 0, HOSTS, 0.6) == [PullFromPeer("peer")]
     assert isinstance(
         follower.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 9.0), ReadAll
     )
 
 
-def test_after_a_watch_that_was_cut_all_is_read_anew(watching):
-    """The source drops its history and cuts the watches, deaf for a second before.
+def test_full_read_after_failed_watch_restores_watching(watching):
+    """A key is revoked in the second before the source drops its history.
 
-    A key is taken away in that second. A new watch from the revision known before
-    stays silent for seconds, without a word of the lost history, and the key's calls
-    go on being served. A whole reading brings the change at once.
+    A new watch from the old revision returns nothing for seconds, without an error for
+    the lost history, and the key's calls are still served. A full read finds the change
+    at once, and watching resumes.
     """
     watching.handle(SourceFailed(), 10, HOSTS, 2.0)
     step = watching.choose_step(
@@ -159,57 +158,57 @@
     assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 3.0), Watch)
 
 
-def test_a_host_that_starts_beside_a_silent_source_is_not_held_up(follower):
-    """Most hosts were killed while the store is silent; callers are refused.
+def test_starting_host_asks_peer_if_source_is_silent(follower):
+    """Most hosts restart while the store is silent, and the first read hangs.
 
-    The first reading hangs. One peer holds all, the others that restarted hold
-    nothing, and what they tell must not let the host forget that it is behind.
+    One peer has all records, the restarted ones have none. Their reports must not hide
+    that this host is behind.
     """
     empty = PeerReported("restarted", 0, float("inf"))
     whole = PeerReported("peer", 26, 6.0)
-    asked = []
+    effects = []
     for step in range(4):
         now = 0.1 * step
-        asked += follower.handle(whole, 0, HOSTS, now)
-        asked += follower.handle(empty, 0, HOSTS, now + 0.05)
-    assert PullFromPeer("peer") in asked
-    assert QuerySource() not in asked
+        effects += follower.handle(whole, 0, HOSTS, now)
+        effects += follower.handle(empty, 0, HOSTS, now + 0.05)
+    assert PullFromPeer("peer") in effects
+    assert QuerySource() not in effects
 
 
-def test_peers_that_hold_less_do_not_hide_that_a_watch_is_dead(watching):
-    """A target left; work still goes to it, as this host's watch died in silence.
+def test_peers_behind_do_not_hide_dead_watch(watching):
+    """The watch of this host is dead, so it still uses a target that was withdrawn.
 
-    One peer tells the newer revision. The others' watches are as deaf: they hold what
-    this host holds, and their word must not let it forget that it is behind.
+    One peer reports the newer revision. The watches of the others are dead too, and
+    their reports of the old revision must not hide that this host is behind.
     """
     ahead, level = PeerReported("peer", 12, 0.1), PeerReported("deaf", 10, 0.1)
-    asked = []
+    effects = []
     for step in range(9):
         now = 5.0 + 0.1 * step
-        asked += watching.handle(ahead, 10, HOSTS, now)
-        asked += watching.handle(level, 10, HOSTS, now + 0.05)
-    assert PullFromPeer("peer") in asked
-    assert QuerySource() in asked
+        effects += watching.handle(ahead, 10, HOSTS, now)
+        effects += watching.handle(level, 10, HOSTS, now + 0.05)
+    assert PullFromPeer("peer") in effects
+    assert QuerySource() in effects
 
 
-def test_failures_back_off_further_while_others_ask_too(watching):
+def test_backoff_is_longer_in_larger_fleet(watching):
     now = 2.0
     for _ in range(10):
         watching.handle(SourceFailed(), 10, HOSTS, now)
         step = watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, now)
         now += step.seconds
     assert step.seconds > 1.3
-    lone = Follower(random.Random(1), 0.0)
+    single_host = Follower(random.Random(1), 0.0)
     for _ in range(10):
-        lone.handle(SourceFailed(), 0, HOSTS, 2.0)
+        single_host.handle(SourceFailed(), 0, HOSTS, 2.0)
     assert (
-        lone.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0).seconds
+        single_host.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 2.0).seconds
         <= c.SOURCE_RETRY_MAX_SECONDS
     )
 
 
-def test_a_source_that_is_back_for_a_peer_is_tried_once_more_at_once(watching):
-    """The source is back; a host in a long pause would miss what lapsed meanwhile."""
+def test_source_that_recovered_for_peer_is_retried_once(watching):
+    """A host in a long back-off would miss the records that expired meanwhile."""
     for _ in range(8):
         watching.handle(SourceFailed(), 10, HOSTS, 4.0)
     effects = watching.handle(PeerReported("peer", 10, 0.2), 10, HOSTS, 4.5)
@@ -220,21 +219,21 @@
     assert QuerySource() not in again
 
 
-def test_a_source_that_refuses_one_host_only_is_not_asked_at_each_hint(watching):
-    """The store turns this host away for long and serves the others.
+def test_source_that_refuses_one_host_is_not_retried_at_each_hint(watching):
+    """The store refuses this host for long and serves the others.
 
-    Their answers are newer than each failure here, and each call is priced.
+    Their confirmations are newer than each failure here, but each call has a price.
     """
-    asked = 0
+    queries = 0
     for step in range(10):
         now = 4.0 + 2.0 * step
         watching.handle(SourceFailed(), 10, HOSTS, now)
-        told = PeerReported("peer", 10, 0.1)
-        asked += QuerySource() in watching.handle(told, 10, HOSTS, now + 1.0)
-    assert asked == 1
+        report = PeerReported("peer", 10, 0.1)
+        queries += QuerySource() in watching.handle(report, 10, HOSTS, now + 1.0)
+    assert queries == 1
 
 
-def test_an_outage_is_remembered_for_moments(watching):
+def test_outage_is_remembered_briefly(watching):
     watching.handle(SourceFailed(), 10, HOSTS, 2.0)
     watching.handle(SourceAnswered(False), 10, HOSTS, 2.2)
     assert not watching.is_after_outage(2.2)
@@ -244,11 +243,12 @@
     assert not watching.is_after_outage(6.0 + c.AFTER_OUTAGE_SECONDS)
 
 
-def test_a_host_that_alone_is_cut_off_from_the_source_knows_of_no_outage(watching):
-    """A target leaves; a request reaches it 2.08 s after that, past the bound of 2 s.
+def test_host_cut_off_alone_sees_no_outage(watching):
+    """A host is cut off from the source while its peers keep it up to date.
 
-    The host had been cut off from the source while its peers told it all. Back in
-    touch, it took the withdrawal for a lapse of an outage, and used the target on.
+    Once it reaches the source again, it must not take a withdrawn target for one that
+    expired in an outage: a request reached such a target 2.08 s after its withdrawal,
+    and the limit is 2 s.
     """
     for now in (2.0, 3.0, 4.0, 5.0):
         watching.choose_step(PollingOrder(HOSTS, 0), 1.5, now)
@@ -258,12 +258,11 @@
     assert not watching.is_after_outage(6.1)
 
 
-def test_a_host_that_starts_leaves_the_first_reading_to_the_seeds():
-    """300 hosts start at once, and callers are refused for seconds.
+def test_starting_host_leaves_first_read_to_seeds():
+    """300 hosts start at once; if all read the source, it refuses most of them.
 
-    Each reads all by itself, the source bounds their calls together, and refuses most.
-    A host that is no seed waits a moment; a peer that has read all is asked at once,
-    and while it gives, this host does not ask the source.
+    A host that is no seed waits a moment, asks a peer that has all records at once, and
+    does not query the source while the peer sends them.
     """
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     step = follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.0)
@@ -271,24 +270,23 @@
     follower.handle(PeerReported("seed", 0, float("inf")), 0, 3, 0.01)
     step = follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.05)
     assert step.seconds == pytest.approx(c.START_WAIT_SECONDS - 0.05)
-    told = PeerReported("seed", 12, 0.0)
-    assert PullFromPeer("seed") in follower.handle(told, 0, 3, 0.1)
+    report = PeerReported("seed", 12, 0.0)
+    assert PullFromPeer("seed") in follower.handle(report, 0, 3, 0.1)
     assert isinstance(follower.choose_step(PollingOrder(3, 0), NO_AGE, 0.3), Pause)
 
 
-def test_a_host_that_starts_before_all_seeds_does_not_wait_for_them():
-    """All hosts lost power, the seeds start last; callers are refused meanwhile."""
+def test_starting_host_does_not_wait_for_absent_seeds():
+    """After a power loss the seeds start last; waiting would refuse callers."""
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     step = follower.choose_step(PollingOrder(1, 0), NO_AGE, c.SEED_ANSWER_SECONDS)
     assert step == ReadAll()
 
 
-def test_what_peers_gave_at_the_start_is_not_read_once_more():
-    """Hundreds of hosts start at once, and callers are refused for seconds.
+def test_records_from_peer_at_start_are_not_read_again():
+    """Hundreds of hosts start at once, and each gets all records from a peer.
 
-    Each is given all by a peer, and then reads all of it from the source as well: most
-    of these calls are refused, and those that nobody has given anything wait for them.
-    A short watch from the revision given tells what changed since.
+    If each read the source as well, most calls would be refused, also those of hosts
+    without any records. A short watch from the received revision returns later changes.
     """
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     follower.handle(PeerReported("seed", 12, 0.0), 0, 3, 0.1)
@@ -300,11 +298,11 @@
     assert isinstance(later, Watch) and later.seconds > c.STANDBY_WATCH_SECONDS
 
 
-def test_a_host_that_a_peer_refuses_asks_another_one_at_once():
-    """195 hosts start; callers are refused for another second by most of them.
+def test_host_refused_by_peer_asks_another_at_once():
+    """195 hosts start; all ask the few that have records, which serve some at a time.
 
-    All ask the few that have read, and each gives to four at a time. One that was
-    refused waited for the next word of any peer; others were given all meanwhile.
+    If a refused host waited for the next report of a peer, most of the fleet would
+    refuse callers for another second.
     """
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     for name in ("seed", "fed"):
@@ -316,7 +314,7 @@
     assert follower.handle(PeerPullFailed("fed"), 12, 195, 0.2) == []
 
 
-def test_a_host_that_only_one_peer_can_give_asks_it_again():
+def test_host_refused_by_only_peer_asks_it_again():
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     follower.handle(PeerReported("seed", 12, 0.0), 0, 195, 0.1)
     assert follower.handle(PeerPullFailed("seed"), 0, 195, 0.15) == [
@@ -327,11 +325,11 @@
 @pytest.mark.parametrize(
     "event", [SourceAnswered(False, is_gap=True), HistoryLost(), SourceFailed()]
 )
-def test_what_peers_gave_is_read_where_a_change_since_may_be_lost(event):
-    """A request runs by a table that was replaced after a peer gave it.
+def test_records_from_peer_are_read_again_if_change_may_be_lost(event):
+    """The source drops its history, or fails, before the first watch of a host.
 
-    The source drops its history between the gift and the first watch, or fails, so no
-    watch brings the change; the answer's revision or its failure shows that.
+    The host has its records from a peer, and no watch returns a change since then. The
+    revision of the answer, or the failure, must cause a full read.
     """
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     follower.handle(PeerDataApplied(), 12, 3, 0.2)
@@ -339,8 +337,8 @@
     assert follower.choose_step(PollingOrder(3, 0), NO_AGE, 9.0) == ReadAll()
 
 
-def test_a_host_that_starts_alone_reads_by_itself():
-    """The seeds are dead or cut off; nobody tells anything, and the wait is short."""
+def test_host_that_starts_alone_reads_source():
+    """The seeds are dead or cut off, no peer reports, and the wait is short."""
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     assert (
         follower.choose_step(PollingOrder(1, 0), NO_AGE, c.START_WAIT_SECONDS)
@@ -348,8 +346,8 @@
     )
 
 
-def test_peers_that_tell_much_and_give_nothing_hold_up_no_start():
-    """Each peer is asked and gives nothing; the host still reads within two seconds."""
+def test_peers_that_send_no_records_do_not_delay_start():
+    """Peers report data but send no records; the host reads within two seconds."""
     follower = Follower(random.Random(1), 0.0, c.START_WAIT_SECONDS)
     for turn in range(40):
         follower.handle(PeerReported("busy", 12, 0.0), 0, 3, 0.1 * turn)
@@ -359,7 +357,7 @@
     )
 
 
-def test_a_page_between_refusals_lets_the_reading_go_on_soon(follower):
+def test_page_between_failures_resets_backoff(follower):
     for _ in range(6):
         follower.handle(SourceFailed(), 0, HOSTS, 1.0)
     follower.handle(PageRead(), 0, HOSTS, 3.0)
@@ -368,18 +366,18 @@
     assert step.seconds <= c.SOURCE_RETRY_FIRST_SECONDS
 
 
-def test_an_answer_that_a_host_stood_still_over_is_as_old(watching):
-    """A host is suspended with the source's answer in its socket; the table changes.
+def test_answer_received_after_suspension_counts_as_old(watching):
+    """A host is suspended with an answer in its socket, and the table changes.
 
-    Awake, it called itself and all its peers sure of what is published just now.
+    When it resumes, it must not confirm the old data as current to itself or to peers.
     """
     assert watching.handle(SourceAnswered(False, False, 2.5), 10, HOSTS, 9.0) == [
         MarkConfirmed(2.5)
     ]
 
 
-def test_ages_told_to_and_fro_never_fall():
-    """Two hosts hear only each other; what they know must not seem ever younger."""
+def test_ages_exchanged_between_peers_never_decrease():
+    """Two hosts hear only each other; their data must not seem to become younger."""
     delay, age, waited = 0.005, 1.0, 0.0
     for _ in range(100):
         age = unpack_age(pack_age(age))
@@ -387,11 +385,11 @@
     assert age >= 1.0 + waited
 
 
-def test_a_watch_that_nobodys_word_speaks_for_is_given_up(watching):
-    """Work goes to a target that left, though the source tells others of it.
+def test_unconfirmed_watch_is_abandoned(watching):
+    """The watches of all hosts in reach are dead after the source was silent to them.
 
-    The watches of all hosts in reach got no answer while the source was silent to
-    them, and will get none; it answers again, but each host waits for its watch's end.
+    The source answers again, but each host waits for the end of its watch, and uses a
+    withdrawn target until then.
     """
     watching.choose_step(PollingOrder(HOSTS, 0), NO_AGE, 1.0)
     assert (
@@ -404,7 +402,7 @@
     assert watching.handle(late, 10, HOSTS, 3.4) == []
 
 
-def test_a_source_that_fails_is_not_asked_sooner_as_nobody_confirms(watching):
+def test_failing_source_is_not_queried_early_without_confirmation(watching):
     watching.handle(SourceFailed(), 10, HOSTS, 2.0)
     assert isinstance(watching.choose_step(PollingOrder(HOSTS, 0), 9.0, 2.0), Pause)
     assert watching.handle(ConfirmationAged(9.0), 10, HOSTS, 2.0) == []
