--- a/libraries/gateway/tests/conftest.py
+++ b/libraries/gateway/tests/conftest.py
@@ -49,8 +49,8 @@
 }
 
 
-class FirstInOrder:
-    """Stand for the host's randomness, so that targets are tried in order."""
+class OrderedRandom:
+    """Replace the host's random generator, so that targets are tried in order."""
 
     def __init__(self):
         self._draws = 0
@@ -60,31 +60,33 @@
         return self._draws / 1_000_000
 
 
-class NoOrders:
-    """Stand for targets that take no orders."""
+class RefusingReservationClient:
+    """A reservation client whose targets refuse all reservations."""
 
     async def async_reserve(self, reservation, timeout):
         """Refuse."""
         return ReservationAnswer(False)
 
     async def async_release(self, reservation, timeout):
-        """Have nothing to free."""
+        """Confirm, as nothing is reserved."""
         return True
 
 
 class Site:
-    """A forwarding host, with its table and targets set by hand."""
+    """A forwarding host whose routing table and targets are set by the test."""
 
     def __init__(self, **route):
         settings = GatewaySettings(
             "h1", "d1", LOCAL, LOCAL, LOCAL, LOCAL, (), LOCAL, Bounds()
         )
         self.state = GatewayState(settings, HeaderNames(), Paths())
-        self.state.random = FirstInOrder()
+        self.state.random = OrderedRandom()
         self.state.table_confirmed_at = float("inf")
         self.chooser = TargetChooser(self.state, time.monotonic)
         self.forwarder = Forwarder(
-            self.state, self.chooser, ReservationTask(self.state, NoOrders())
+            self.state,
+            self.chooser,
+            ReservationTask(self.state, RefusingReservationClient()),
         )
         self.server = HttpServer(
             LOCAL, self.forwarder.async_handle, check_head=self.forwarder.check_head
@@ -127,7 +129,7 @@
 
     @property
     def runs(self):
-        """Return how many requests the targets read."""
+        """Return how many requests reached the targets."""
         return sum(len(target.seen) for target in self.targets)
 
     async def async_ask(self, method="GET", path="/app/x", **options):
@@ -139,7 +141,7 @@
         return answer
 
     async def async_ask_prompt(self, tokens):
-        """Send a prompt of so many prompt and output tokens; return its answer."""
+        """Send a prompt with token counts ("prompt,output"); return its answer."""
         return await self.async_ask("POST", lines=[f"X-Tokens: {tokens}"])
 
 
@@ -181,7 +183,7 @@
 
 @pytest.fixture
 def build_peer_state():
-    """Return a function that gives the state of one of three hosts, by number."""
+    """Return a function that builds the state of one of three hosts, by number."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind((PEER_HOSTS[0], 0))
         port = probe.getsockname()[1]
--- a/libraries/gateway/tests/test_app.py
+++ b/libraries/gateway/tests/test_app.py
@@ -1,4 +1,4 @@
-"""Tests of the order in which a whole host leaves."""
+"""Tests of the order in which a host shuts down."""
 
 import asyncio
 import socket
@@ -46,7 +46,7 @@
 
 
 class SilentSource:
-    """Publish nothing."""
+    """A source that publishes nothing."""
 
     async def async_read_all(self, timeout):
         return Records((), 1)
@@ -80,7 +80,7 @@
         self.running = None
 
     async def async_start(self, script):
-        """Serve with a target of this script."""
+        """Serve with a target that runs this script."""
         target = ScriptedTarget(script, "t0")
         await target.async_setup()
         state = self.gateway.state
@@ -101,7 +101,7 @@
         return await RawCaller.async_open(self.gateway.state.settings.callers)
 
     async def async_until(self, holds):
-        """Return as soon as the condition holds."""
+        """Wait until the condition holds."""
         async with asyncio.timeout(WAIT_SECONDS):
             while not holds():
                 await asyncio.sleep(0.01)
@@ -121,13 +121,13 @@
         await asyncio.gather(host.running, return_exceptions=True)
 
 
-async def test_a_host_that_leaves_admits_until_the_balancer_has_noticed(
+async def test_draining_host_admits_requests_until_balancer_notices(
     make_host, monkeypatch
 ):
-    """A host is told to leave; the balancer goes on sending until it has asked twice.
+    """The balancer sends requests until it has made two health checks.
 
-    What comes meanwhile, on new connections and kept ones, is served, and each answer
-    says that its connection ends.
+    Until then requests on new and kept connections are served, and each answer closes
+    its connection.
     """
     monkeypatch.setattr(c, "BALANCER_NOTICE_SECONDS", 40.0)
     host = make_host(60.0)
@@ -142,11 +142,11 @@
         assert (answer.status, answer.get("connection")) == (200, ["close"])
 
 
-async def test_a_host_that_leaves_ends_what_is_in_progress(make_host, monkeypatch):
-    """A request is at its target, another caller's connection is idle.
+async def test_draining_host_finishes_requests_in_progress(make_host, monkeypatch):
+    """One request is at its target, and the connection of another caller is idle.
 
-    The idle one is closed, as nothing has come on it; the answer is given whole, and
-    only then does the host end.
+    The idle connection is closed, the answer is delivered completely, and only then
+    does the host stop.
     """
     monkeypatch.setattr(c, "BALANCER_NOTICE_SECONDS", 0.0)
     go_on = asyncio.Event()
@@ -171,8 +171,8 @@
         await host.running
 
 
-async def test_a_drain_ends_within_the_grace(make_host, monkeypatch):
-    """A target never answers; the host ends by itself before it would be killed."""
+async def test_drain_ends_within_grace_time(make_host, monkeypatch):
+    """A target never answers; the host stops by itself before it would be killed."""
     monkeypatch.setattr(c, "BALANCER_NOTICE_SECONDS", 0.0)
 
     async def script(request, writer):
--- a/libraries/gateway/tests/test_failures.py
+++ b/libraries/gateway/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Tests of what a caller is told when targets and hosts fail."""
+"""Tests of the answers to callers when targets and hosts fail."""
 
 import asyncio
 import random
@@ -24,15 +24,15 @@
 STREAM_LINES = ("Content-Type: text/event-stream",)
 
 
-async def truncate(request, writer):
+async def truncate_answer(request, writer):
     writer.write(build_answer(request, b"half", framing=["Content-Length: 8"]))
 
 
-async def name_another_request(request, writer):
+async def send_another_request_id(request, writer):
     writer.write(build_answer(request).replace(b"r1", b"r9"))
 
 
-async def name_no_request(request, writer):
+async def omit_request_id(request, writer):
     writer.write(build_answer(request).replace(b"X-Request-Id: r1\r\n", b""))
 
 
@@ -46,12 +46,12 @@
     await async_reset(request, writer)
 
 
-SPOILED = [
+INVALID_ANSWERS = [
     async_lose_answer,
     async_reset,
-    truncate,
-    name_another_request,
-    name_no_request,
+    truncate_answer,
+    send_another_request_id,
+    omit_request_id,
     send_garbage,
     answer_with(seal="X-None: 1"),
     answer_with(lines=["Content-Encoding: gzip"]),
@@ -61,14 +61,14 @@
 ]
 
 
-@pytest.mark.parametrize("script", SPOILED)
-async def test_what_may_have_run_once_is_neither_sent_again_nor_called_not_run(
+@pytest.mark.parametrize("script", INVALID_ANSWERS)
+async def test_non_idempotent_request_is_not_resent_after_invalid_answer(
     make_site, script
 ):
-    """A confirmation is sent, and no answer comes that may be passed on.
+    """A confirmation is sent, and no answer can be forwarded.
 
-    The target may have run it. A second send could book twice, and 503 would make the
-    caller send it again; so the caller hears 502 at once and the other target nothing.
+    The target may have run it. A second attempt could book twice, and 503 would make
+    the caller repeat it, so the caller gets 502 at once and no other target is tried.
     """
     site = await make_site(script, answer_with(), kind=ONCE)
     answer = await site.async_ask("POST")
@@ -79,13 +79,13 @@
 
 
 @pytest.mark.parametrize("script", [async_lose_answer, async_reset, refuse_with()])
-async def test_a_targets_own_failure_is_given_if_the_next_target_answers_nothing(
+async def test_target_failure_is_forwarded_if_next_target_gives_no_answer(
     make_site, script
 ):
-    """A lookup fails at its target with 500, and the caller hears 502 "may have run".
+    """A lookup fails with 500 at one target, and the next one refuses or is lost.
 
-    The host holds the 500 and asks another target, which refuses or is lost. The 500
-    is the whole answer of a target and bears its seal, so the caller gets it.
+    The 500 is the complete, sealed answer of a target, so the caller must get it
+    instead of a 502 that says the request may have run.
     """
     site = await make_site(answer_with(status="500 Broken"), script)
     answer = await site.async_ask()
@@ -93,21 +93,21 @@
     assert answer.get("x-answer-seal")
 
 
-@pytest.mark.parametrize("script", [*SPOILED, answer_with(status="500 Broken")])
-async def test_what_may_run_again_is_sent_to_the_next_target(make_site, script):
+@pytest.mark.parametrize("script", [*INVALID_ANSWERS, answer_with(status="500 Broken")])
+async def test_idempotent_request_is_sent_to_next_target(make_site, script):
     site = await make_site(script, answer_with())
     answer = await site.async_ask()
     assert (answer.status, answer.body) == (200, b"whole")
     assert site.runs == 2
 
 
-async def test_no_more_targets_than_the_route_allows(make_site):
+async def test_attempts_are_limited_by_route(make_site):
     site = await make_site(*[async_lose_answer] * 4, attempts=3)
     assert (await site.async_ask()).status == 502
     assert site.runs == 3
 
 
-async def test_bytes_after_a_whole_answer_reach_nobody(make_site):
+async def test_bytes_after_complete_answer_are_discarded(make_site):
     async def script(request, writer):
         writer.write(build_answer(request) + build_answer(request, b"surplus"))
 
@@ -120,22 +120,22 @@
         assert answer.get("x-request-id") == [f"q{number}"]
 
 
-async def test_a_reset_is_no_end_of_an_answer_without_a_length(make_site):
+async def test_reset_does_not_end_answer_without_length(make_site):
     site = await make_site(reset_within_an_answer_without_length, kind=ONCE)
     assert (await site.async_ask("POST")).status == 502
 
 
-async def test_a_target_that_is_gone_leaves_the_request_to_the_next(make_site):
+async def test_request_to_closed_target_goes_to_next_target(make_site):
     site = await make_site(answer_with(), answer_with(), kind=ONCE)
     await site.targets[0].async_unload()
     assert (await site.async_ask("POST")).status == 200
 
 
-async def test_time_over_before_any_answer_is_told_at_once(make_site):
-    """The target is silent; the caller hears 504 at the route's time limit.
+async def test_deadline_before_any_answer_is_reported_at_once(make_site):
+    """The target is silent; the caller gets 504 at the route's time limit.
 
-    On a busy machine the time may be over before a connection to the target is made:
-    then, and only then, it has not run, and that is what is told.
+    On a busy machine the time may end before the connection to the target is made.
+    Only then the request has not run, and the caller gets 503.
     """
     asked = []
 
@@ -151,12 +151,12 @@
     assert loop.time() - began < 2
 
 
-async def test_an_answer_at_the_very_end_of_its_time_is_one_answer(make_site):
-    """Answers and the end of the time meet; each request has one whole answer, its own.
+async def test_answer_at_deadline_is_sent_once(make_site):
+    """Answers arrive at the deadline; each request gets exactly one complete answer.
 
-    A second answer, or a part of one, would show as the answer to the next request on
-    the kept connection. On a busy machine the time may end before a connection to the
-    target is made: then, and only then, it has not run, and that is what is told.
+    A second answer, or a part of one, would appear as the answer to the next request on
+    the kept connection. On a busy machine the time may end before the connection to the
+    target is made. Only then the request has not run, and the caller gets 503.
     """
     delays = iter([0.045 + 0.0005 * number for number in range(20)] * 2)
 
@@ -185,8 +185,8 @@
     assert not [request_id for request_id in refused if request_id in seen]
 
 
-async def test_time_that_is_over_before_a_send_is_told_as_not_run(make_site):
-    """No time is left when the request has been read; nothing goes to a target."""
+async def test_deadline_before_first_attempt_is_reported_as_not_run(make_site):
+    """No time is left once the request has been read; nothing is sent to a target."""
     site = await make_site(answer_with(), kind=ONCE)
     answer = await site.async_ask("POST", lines=["X-Time-Limit-Ms: 0"])
     assert answer.status == 503
@@ -194,18 +194,17 @@
     assert site.runs == 0
 
 
-async def test_a_host_that_leaves_ends_what_it_has_and_refuses_others(
+async def test_draining_host_finishes_requests_and_refuses_new_ones(
     make_site,
 ):
-    """A host drains: what is in progress ends whole, and says that the connection ends.
+    """Requests in progress get complete answers, which close their connections.
 
-    After the balancer had its time, what still comes is told that it has not run and
-    when to come back.
+    Later requests are told that they have not run and when to retry.
     """
-    go_on = asyncio.Event()
+    may_continue = asyncio.Event()
 
     async def script(request, writer):
-        await go_on.wait()
+        await may_continue.wait()
         writer.write(build_answer(request))
 
     site = await make_site(script, kind=ONCE)
@@ -218,13 +217,13 @@
     assert late.status == 503
     assert float(late.get("retry-after")[0]) > 0
     assert late.get("connection") == ["close"]
-    go_on.set()
+    may_continue.set()
     answer = await asking
     assert (answer.status, answer.get("connection")) == (200, ["close"])
     assert site.runs == 1
 
 
-async def test_a_stream_whose_first_event_never_comes_ends_with_its_time(make_site):
+async def test_stream_without_first_event_ends_at_deadline(make_site):
     async def script(request, writer):
         writer.write(build_answer(request, b"", "200 OK", STREAM_LINES, [CHUNKED]))
         await asyncio.sleep(5)
@@ -233,11 +232,11 @@
     assert (await site.async_ask("POST")).status == 504
 
 
-async def test_a_stream_cut_within_an_event_goes_on_at_the_next_target(make_site):
-    """The first engine ends within its third event; the caller reads one whole stream.
+async def test_stream_cut_within_event_resumes_at_next_target(make_site):
+    """The first engine fails within its third event; the caller gets a complete stream.
 
-    The half event is held back, the next engine is asked to go on after the second,
-    and the answer keeps the first engine's headers.
+    The partial event is not forwarded, the next engine is asked to resume after the
+    second event, and the answer keeps the first engine's headers.
     """
     site = await make_site(
         stream_events([1, 2], build_event(3)[:9], is_ended=False),
@@ -263,11 +262,11 @@
         answer_with(seal="X-None: 1"),
     ],
 )
-async def test_a_stream_that_cannot_go_on_ends_visibly(make_site, second):
-    """Some of a stream was given, and the next target cannot continue it.
+async def test_stream_that_cannot_resume_is_aborted(make_site, second):
+    """A part of a stream was forwarded, and the next target cannot continue it.
 
-    Neither a second head nor a whole answer may follow what was given: the connection
-    ends within the answer, so that the caller can see it.
+    Neither a second head nor a complete answer may follow: the connection is closed
+    within the answer, so that the caller notices the failure.
     """
     site = await make_site(
         stream_events([1, 2], is_ended=False),
@@ -280,11 +279,11 @@
     assert answer.body == build_event(1) + build_event(2)
 
 
-async def test_events_before_a_gap_are_given_before_the_stream_goes_on(make_site):
-    """One packet holds events 1 and 2 and then 9: a target lost some on the way.
+async def test_events_before_gap_are_sent_before_stream_resumes(make_site):
+    """One packet has events 1 and 2 and then 9: the target lost some in between.
 
-    The caller gets 1 and 2, and the next target goes on after 2: noting 2 as given
-    without giving it would leave both out.
+    The caller gets 1 and 2, and the next target resumes after 2. If 2 was recorded as
+    delivered but not sent, the caller would miss both.
     """
 
     async def script(request, writer):
@@ -300,7 +299,7 @@
     assert answer.body == b"".join(build_event(number) for number in (1, 2, 3))
 
 
-async def test_a_stream_that_may_not_go_on_elsewhere_ends_visibly(make_site):
+async def test_stream_that_is_not_resumable_is_aborted(make_site):
     site = await make_site(
         stream_events([1, 2], is_ended=False),
         stream_events([3]),
@@ -311,7 +310,7 @@
     assert site.runs == 1
 
 
-async def test_a_callers_own_last_event_goes_to_the_first_target(make_site):
+async def test_callers_last_event_id_is_sent_to_first_target(make_site):
     site = await make_site(
         stream_events([]), kind=RequestKind.STREAM, is_resumable=True
     )
@@ -320,13 +319,13 @@
     assert site.targets[0].seen[0].get("last-event-id") == ["4"]
 
 
-async def test_an_event_is_passed_on_before_the_next_one_is_made(make_site):
-    go_on = asyncio.Event()
+async def test_event_is_forwarded_before_next_one_exists(make_site):
+    may_continue = asyncio.Event()
 
     async def script(request, writer):
         writer.write(build_answer(request, b"", "200 OK", STREAM_LINES, [CHUNKED]))
         writer.write(build_chunk(build_event(1)))
-        await go_on.wait()
+        await may_continue.wait()
         writer.write(build_chunk(build_event(2)) + b"0\r\n\r\n")
 
     site = await make_site(script, kind=RequestKind.STREAM)
@@ -334,13 +333,13 @@
     caller.send("POST")
     async with asyncio.timeout(5):
         await caller.reader.readuntil(build_event(1))
-        go_on.set()
+        may_continue.set()
         await caller.reader.readuntil(build_event(2))
 
 
 @pytest.mark.parametrize("begins", [True, False])
-async def test_a_caller_that_leaves_ends_the_targets_work(make_site, begins):
-    """A caller closes, before the first event or after it; the engine is let go."""
+async def test_disconnected_caller_ends_targets_work(make_site, begins):
+    """A caller disconnects before or after the first event; the engine is released."""
 
     async def script(request, writer):
         writer.write(build_answer(request, b"", "200 OK", STREAM_LINES, [CHUNKED]))
@@ -360,8 +359,8 @@
     assert not site.forwarder.in_flight
 
 
-async def test_a_caller_that_does_not_read_is_cut_off_with_its_time(make_site):
-    """The caller's window is full and stays so; the target is let go at the limit."""
+async def test_caller_that_does_not_read_is_cut_off_at_deadline(make_site):
+    """The caller's window stays full; the target is released at the deadline."""
 
     async def script(request, writer):
         writer.write(build_answer(request, b"", "200 OK", STREAM_LINES, [CHUNKED]))
@@ -381,9 +380,17 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-async def test_what_may_run_once_never_runs_twice(make_site, seed):
-    """Targets fail in all ways at once; the invariants hold and each call runs once."""
-    scripts = [*SPOILED, refuse_with(), answer_with(), answer_with(status="500 No")]
+async def test_non_idempotent_requests_never_run_twice(make_site, seed):
+    """Targets fail in all ways at once; no call may run twice.
+
+    The invariants hold, and a caller gets 503 only for a call that has not run.
+    """
+    scripts = [
+        *INVALID_ANSWERS,
+        refuse_with(),
+        answer_with(),
+        answer_with(status="500 No"),
+    ]
     site = await make_site(*scripts, kind=ONCE, attempts=4)
     site.state.random = random.Random(seed)
     violations = invariants.count
@@ -394,7 +401,7 @@
     runs = {request_id: 0 for request_id in ids}
     for target in site.targets:
         for seen in target.seen:
-            if target.script is not scripts[len(SPOILED)]:
+            if target.script is not scripts[len(INVALID_ANSWERS)]:
                 runs[seen.get("x-request-id")[0]] += 1
     for request_id, answer in zip(ids, answers, strict=True):
         assert runs[request_id] <= 1
--- a/libraries/gateway/tests/test_forwarding.py
+++ b/libraries/gateway/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Tests of what a target gets of a request, and a caller of an answer."""
+"""Tests of the requests that targets receive, and of the answers to callers."""
 
 import asyncio
 
@@ -14,11 +14,11 @@
     refuse_with,
 )
 
-ODD_PATH = "/app//a/../%2f;x?q=1&q=%20&&z"
+UNNORMALIZED_PATH = "/app//a/../%2f;x?q=1&q=%20&&z"
 LONG_BODY = b"b" * 3_000_000
 
 
-async def test_method_target_headers_and_body_reach_the_target_unchanged(make_site):
+async def test_method_path_headers_and_body_reach_target_unchanged(make_site):
     site = await make_site(answer_with())
     lines = [
         "X-oDD-Case: a",
@@ -32,10 +32,12 @@
         "X-Expected-Target: other",
         "Content-Length: 4",
     ]
-    answer = await site.async_ask("PATCH", ODD_PATH, lines=lines, body=b"\0\xff\r\n")
+    answer = await site.async_ask(
+        "PATCH", UNNORMALIZED_PATH, lines=lines, body=b"\0\xff\r\n"
+    )
     assert (answer.status, answer.body) == (200, b"whole")
     (seen,) = site.targets[0].seen
-    assert seen.first_line == f"PATCH {ODD_PATH} HTTP/1.1"
+    assert seen.first_line == f"PATCH {UNNORMALIZED_PATH} HTTP/1.1"
     assert seen.body == b"\0\xff\r\n"
     assert [pair for pair in seen.headers if pair[0].lower() == "x-odd-case"] == [
         ("X-oDD-Case", "a"),
@@ -50,7 +52,7 @@
         assert not seen.get(name)
 
 
-async def test_a_chunked_body_reaches_the_target_whole(make_site):
+async def test_chunked_body_reaches_target(make_site):
     site = await make_site(answer_with())
     body = build_chunk(b"ab") + build_chunk(b"cde") + b"0\r\n\r\n"
     answer = await site.async_ask("POST", lines=[CHUNKED], body=body)
@@ -58,22 +60,22 @@
     assert site.targets[0].seen[0].body == b"abcde"
 
 
-async def test_an_empty_body_keeps_its_length(make_site):
-    """Some servers ask a POST without a length for one (411)."""
+async def test_empty_body_keeps_its_length(make_site):
+    """Some servers refuse a POST without a content length (411)."""
     site = await make_site(answer_with())
     await site.async_ask("POST", lines=["Content-Length: 0"])
     assert site.targets[0].seen[0].get("content-length") == ["0"]
 
 
 @pytest.mark.parametrize("limit", ["7", "7" * 5_000, "\xb2", "-3", "soon"])
-async def test_a_time_limit_that_is_no_number_is_the_routes(make_site, limit):
+async def test_time_limit_that_is_no_number_falls_back_to_route(make_site, limit):
     site = await make_site(answer_with())
     answer = await site.async_ask(lines=[f"X-Time-Limit-Ms: {limit}"])
     assert answer.status in (200, 503, 504)
 
 
 @pytest.mark.parametrize("counts", ["7" * 5_000 + ",1", "\xb2,\xb2", ",", "many"])
-async def test_counts_that_are_no_numbers_go_on_unchanged(make_site, counts):
+async def test_invalid_token_counts_are_forwarded_unchanged(make_site, counts):
     site = await make_site(answer_with())
     answer = await site.async_ask(lines=[f"X-Tokens: {counts}"])
     assert answer.status == 200
@@ -81,12 +83,12 @@
 
 
 @pytest.mark.parametrize("load", ["7" * 5_000 + ",1,1", "\xb2,\xb2,\xb2", "1", ""])
-async def test_a_targets_load_that_is_no_number_is_passed_over(make_site, load):
+async def test_invalid_target_load_is_ignored(make_site, load):
     site = await make_site(answer_with(lines=[f"X-Target-Load: {load}"]))
     assert (await site.async_ask()).status == 200
 
 
-async def test_the_target_hears_how_much_time_is_left(make_site):
+async def test_target_gets_remaining_time(make_site):
     site = await make_site(answer_with(), timeout_seconds=2.0)
     await site.async_ask(lines=["X-Time-Limit-Ms: 900"])
     await site.async_ask(lines=["X-Time-Limit-Ms: 9000"])
@@ -95,7 +97,7 @@
     assert 0 < int(second.get("x-time-limit-ms")[0]) <= 2000
 
 
-async def test_an_answers_headers_come_back_unchanged(make_site):
+async def test_answer_headers_reach_caller_unchanged(make_site):
     lines = ["X-oDD: a", "x-odd: b", "Connection: close, X-Hop", "X-Hop: 1"]
     site = await make_site(answer_with(lines=lines))
     answer = await site.async_ask()
@@ -110,7 +112,7 @@
 
 
 @pytest.mark.parametrize("status", ["204 No Content", "304 Not Modified"])
-async def test_an_answer_that_has_no_body_is_given_none(make_site, status):
+async def test_answer_without_body_stays_without_body(make_site, status):
     site = await make_site(answer_with(b"", status, framing=()))
     answer = await site.async_ask()
     assert f"{answer.status}" == status[:3]
@@ -118,21 +120,21 @@
     assert not answer.get("transfer-encoding")
 
 
-async def test_an_answer_to_head_keeps_the_length_of_what_it_stands_for(make_site):
+async def test_answer_to_head_keeps_content_length(make_site):
     site = await make_site(answer_with(b"", framing=["Content-Length: 812"]))
     answer = await site.async_ask("HEAD")
     assert (answer.status, answer.get("content-length")) == (200, ["812"])
 
 
 @pytest.mark.parametrize("status", ["500 Broken", "504 Late", "404 No", "409 Clash"])
-async def test_a_targets_own_failure_comes_back_as_it_is(make_site, status):
+async def test_target_failure_reaches_caller_unchanged(make_site, status):
     site = await make_site(answer_with(b"why", status), attempts=1)
     answer = await site.async_ask()
     assert (str(answer.status), answer.body) == (status[:3], b"why")
     assert answer.get("x-answer-seal") == ["sealed"]
 
 
-async def test_an_early_hint_before_the_answer_is_passed_over(make_site):
+async def test_early_hints_before_answer_are_ignored(make_site):
     async def script(request, writer):
         writer.write(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
         writer.write(build_answer(request))
@@ -141,18 +143,18 @@
     assert (await site.async_ask()).body == b"whole"
 
 
-async def test_an_answer_without_a_length_ends_with_its_connection(make_site):
+async def test_answer_without_length_ends_with_its_connection(make_site):
     site = await make_site(answer_with(b"all there is", framing=()))
     answer = await site.async_ask()
     assert answer.body == b"all there is"
     assert answer.get("content-length") == ["12"]
 
 
-async def test_an_early_answer_is_not_hidden_by_the_unsent_body(make_site):
-    """A target refuses a long body at its head, answers and closes; the caller hears.
+async def test_early_answer_is_forwarded_despite_unsent_body(make_site):
+    """A target answers a long request after its head, and closes the connection.
 
-    Closing with unread bytes resets the connection, so writing the rest fails while
-    the answer is already here.
+    Closing with unread bytes resets the connection, so sending the rest of the body
+    fails although the answer has already arrived. The caller must get it.
     """
 
     async def script(request, writer):
@@ -165,7 +167,7 @@
     assert (answer.status, len(answer.body)) == (409, 30_000)
 
 
-async def test_expect_continue_is_answered_here(make_site):
+async def test_expect_continue_is_answered_by_host(make_site):
     site = await make_site(answer_with())
     caller = await RawCaller.async_open(site.server.address)
     caller.send("POST", lines=["Expect: 100-continue", "Content-Length: 2"])
@@ -185,7 +187,7 @@
         assert answer.get("x-request-id") == [f"p{number}"]
 
 
-async def test_what_is_too_large_or_too_slow_is_refused_by_the_tables_limits(make_site):
+async def test_requests_beyond_table_limits_are_refused(make_site):
     site = await make_site(answer_with())
     kept = await RawCaller.async_open(site.server.address)
     kept.send()
@@ -210,8 +212,8 @@
         assert await idle.reader.read() == b""
 
 
-async def test_a_head_within_the_newest_limits_is_taken_on_a_kept_connection(make_site):
-    """The operators allow longer heads while a connection is open: no 431 any more."""
+async def test_newest_head_limit_applies_to_kept_connection(make_site):
+    """The limit is raised while a connection is open; 431 must not be sent any more."""
     site = await make_site(answer_with())
     site.set_table(CallerLimits(head_bytes=2_000))
     kept = await RawCaller.async_open(site.server.address)
@@ -222,7 +224,7 @@
     assert (await kept.async_read_answer()).status == 200
 
 
-async def test_route_and_key_are_denied_only_where_the_table_is_known_fresh(make_site):
+async def test_route_and_key_are_denied_only_if_table_is_fresh(make_site):
     site = await make_site(answer_with())
     assert (await site.async_ask(path="/none/x")).status == 404
     assert (await site.async_ask(lines=["X-Api-Key: k2"])).status == 401
@@ -233,14 +235,14 @@
     assert site.runs == 0
 
 
-async def test_a_target_that_refuses_leaves_the_request_to_the_next(make_site):
+async def test_refused_request_goes_to_next_target(make_site):
     site = await make_site(
         refuse_with(), answer_with(), kind=RequestKind.NON_IDEMPOTENT
     )
     assert (await site.async_ask("POST")).status == 200
 
 
-async def test_where_all_refuse_the_caller_hears_when_to_come_back(make_site):
+async def test_caller_gets_retry_after_if_all_targets_refuse(make_site):
     site = await make_site(
         refuse_with(), refuse_with("421 Other"), kind=RequestKind.NON_IDEMPOTENT
     )
@@ -249,8 +251,8 @@
     assert float(answer.get("retry-after")[0]) > 0
 
 
-async def test_an_offer_to_change_the_protocol_is_passed_over(make_site):
-    """The offer concerns this connection only; the next request on it is served too."""
+async def test_protocol_upgrade_is_ignored(make_site):
+    """The offer is not forwarded, and the next request on the connection is served."""
     site = await make_site(answer_with())
     caller = await RawCaller.async_open(site.server.address)
     for number in range(2):
@@ -271,7 +273,7 @@
         ("GET", "/app", 404),
     ],
 )
-async def test_targets_in_other_forms_find_their_route_or_none(
+async def test_request_targets_in_other_forms_are_routed(
     make_site, method, path, status
 ):
     site = await make_site(answer_with())
--- a/libraries/gateway/tests/test_headers.py
+++ b/libraries/gateway/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""Tests of which headers go on to a target."""
+"""Tests of the headers that are forwarded to targets."""
 
 import pytest
 
@@ -6,11 +6,10 @@
 from tarragonward_standins import answer_with
 
 
-async def test_what_frames_a_request_is_never_dropped_as_its_connections_own(make_site):
-    """A caller lists host and length as headers of its connection alone.
+async def test_host_and_length_are_forwarded_if_listed_as_connection_options(make_site):
+    """A caller lists host and content length in its Connection header.
 
-    Dropped, the target would run another request than the caller's: of no host, and
-    without its body.
+    Without them the target would run a different request: for no host, without a body.
     """
     site = await make_site(answer_with())
     lines = ["Connection: Host, Content-Length", "Content-Length: 4"]
@@ -37,5 +36,5 @@
         ("\u0661", None),
     ],
 )
-def test_a_rate_is_read_or_there_is_none(text, rate):
+def test_parse_rate(text, rate):
     assert parse_rate(text) == rate
--- a/libraries/gateway/tests/test_no_end.py
+++ b/libraries/gateway/tests/test_no_end.py
@@ -1,4 +1,4 @@
-"""Tests that nothing in a host ends by itself."""
+"""Tests that a host keeps serving after unexpected errors."""
 
 import asyncio
 import os
@@ -22,7 +22,7 @@
 
 
 class FaultyReader:
-    """A source whose answers raise what nobody foresaw."""
+    """A source whose calls raise an unexpected exception."""
 
     def __init__(self):
         self.asked = 0
@@ -42,13 +42,13 @@
     return GatewayState(settings, HeaderNames(), Paths())
 
 
-async def test_an_answer_that_nobody_foresaw_neither_ends_nor_speeds_up_the_reading(
+async def test_unexpected_error_neither_ends_nor_speeds_up_reads(
     monkeypatch,
 ):
-    """The source answers what is no document, and reading it raises.
+    """The source sends something that is no document, and parsing it raises.
 
-    The loop must go on, or the host serves by the table of that moment for good; and
-    not at once, or it asks a sick source as fast as it can.
+    The loop must continue, or the host would use its present table forever; and it must
+    wait first, or it would query a faulty source as fast as it can.
     """
     monkeypatch.setattr(background, "RESTART_SECONDS", 0.05)
     state, reader = make_state(), FaultyReader()
@@ -63,31 +63,31 @@
     assert state.metrics.get_count("background_failures") >= 2
 
 
-async def test_a_host_without_descriptors_serves_again_when_it_has_some():
-    """So many callers connect that no descriptor is left, then they leave.
+async def test_listener_recovers_from_lack_of_file_descriptors():
+    """Callers use up all file descriptors, and then disconnect.
 
-    A listener that gave up at the first refusal of the kernel would be deaf for good:
-    the process lives, its check by the balancer fails, and nothing says why.
+    A listener that stopped at the first error of the kernel would never accept again:
+    the process lives, its health check fails, and nothing says why.
     """
     server = HttpServer(LOCAL, answer_plainly)
     await server.async_setup()
-    heard = []
+    reported = []
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, context: heard.append(context))
+    loop.set_exception_handler(lambda _, context: reported.append(context))
     callers = [socket.socket() for _ in range(8)]
     limits = resource.getrlimit(resource.RLIMIT_NOFILE)
-    fillers = use_up_descriptors(limits[1])
+    duplicates = exhaust_descriptors(limits[1])
     try:
         for caller in callers:
             caller.setblocking(False)
             await loop.sock_connect(caller, (server.address.host, server.address.port))
         async with asyncio.timeout(5):
-            while not heard:
+            while not reported:
                 await asyncio.sleep(0.01)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-        for filler in fillers:
-            os.close(filler)
+        for duplicate in duplicates:
+            os.close(duplicate)
     async with asyncio.timeout(10):
         for caller in callers:
             await loop.sock_sendall(caller, GET)
@@ -96,22 +96,22 @@
     await server.async_unload()
 
 
-def use_up_descriptors(hard_limit):
-    """Lower the limit to what is in use, and fill the gaps."""
+def exhaust_descriptors(hard_limit):
+    """Lower the limit to the highest descriptor in use, and use up those below it."""
     highest = max(int(name) for name in os.listdir("/proc/self/fd"))
     resource.setrlimit(resource.RLIMIT_NOFILE, (highest, hard_limit))
-    fillers = []
+    duplicates = []
     with suppress(OSError):
         while True:
-            fillers.append(os.dup(0))
-    return fillers
+            duplicates.append(os.dup(0))
+    return duplicates
 
 
 async def answer_plainly(request, responder):
     await responder.async_send_json(200, {})
 
 
-async def test_a_fault_before_the_body_is_answered_and_the_host_serves_on(make_site):
+async def test_error_in_head_check_is_answered_and_host_serves_on(make_site):
     site = await make_site(answer_with())
     check = site.server.check_head
 
@@ -124,7 +124,7 @@
     assert (await site.async_ask()).status == 200
 
 
-async def test_a_target_that_cannot_be_connected_to_rests(make_site):
+async def test_target_that_refuses_connections_is_ejected(make_site):
     """The first target's port is closed; the second request must not try it again."""
     site = await make_site(answer_with(), answer_with())
     await site.targets[0].async_unload()
@@ -134,23 +134,23 @@
     assert len(site.targets[1].seen) == 2
 
 
-async def test_a_prompt_that_no_plan_holds_is_refused_and_nothing_fails(make_site):
-    """The planner finds no engines for a prompt, while one of them rests."""
+async def test_prompt_without_plan_is_refused(make_site):
+    """The planner finds no engines for a prompt while one of them is ejected."""
     site = await make_site(answer_with(), answer_with())
     site.chooser._choose_among = lambda ready, need: None
-    resting = site.state.registry.get_ready("s")[0]
-    site.chooser.probes.record(resting, Evidence.NOT_CONNECTED)
+    ejected = site.state.registry.get_ready("s")[0]
+    site.chooser.probes.record(ejected, Evidence.NOT_CONNECTED)
     answer = await site.async_ask()
     assert answer.status == 503
     assert not site.runs
 
 
-async def test_a_target_whose_address_another_one_uses_rests(make_site):
-    """Three targets crash; others take their addresses before their records lapse.
+async def test_target_whose_address_was_reused_is_ejected(make_site):
+    """Targets crash, and new ones use their addresses before their records expire.
 
-    Each answers 421: the boot asked for is not there. Seen in deploy/days/
-    replace_with_reuse.toml: 31 prompts were refused in four seconds with 21 of 24
-    targets free, as the idle ones were asked first and used up each prompt's sends.
+    Each answers 421, as the expected boot is gone. Being idle they are tried first, and
+    would use up the attempts of prompts while other targets are free. It happens in
+    deploy/days/replace_with_reuse.toml.
     """
     moved = refuse_with("421 Misdirected")
     site = await make_site(moved, moved, answer_with())
@@ -160,18 +160,18 @@
     assert len(site.targets[0].seen) == len(site.targets[1].seen) == 1
 
 
-async def test_a_target_whose_helper_is_at_fault_does_not_rest(make_site):
+async def test_target_with_faulty_helper_is_not_ejected(make_site):
     names = ("X-Failed-Target: 127.0.0.1:9",)
     site = await make_site(refuse_with("421 Misdirected", names), answer_with())
     await site.async_ask()
     assert not site.chooser.target_health.ejected_count
 
 
-async def test_an_engine_that_cannot_be_reached_before_a_joint_reading_rests(make_site):
-    """A long prompt's engines are tried first, and one is behind a cut.
+async def test_unreachable_engine_is_ejected_before_joint_prefill(make_site):
+    """The engines of a long prompt are probed first, and one cannot be reached.
 
-    Six such prompts of a cut zone were answered 500: the trial told the rests an id
-    where they take a target. Seen in trouble-1 of shelfwise-jordan at 34 s.
+    A failed probe must be recorded for the target itself. When its id was passed
+    instead, such prompts were answered 500 (trouble-1 of shelfwise-jordan at 34 s).
     """
     site = await make_site(answer_with(), answer_with())
     await site.targets[0].async_unload()
--- a/libraries/gateway/tests/test_operators.py
+++ b/libraries/gateway/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics address, and of what a request leaves behind."""
+"""Tests of the metrics address, and of the metrics and log lines of requests."""
 
 import asyncio
 from dataclasses import replace
@@ -32,15 +32,15 @@
             await asyncio.sleep(0.01)
 
 
-async def test_a_request_that_goes_well_leaves_no_line(make_site, lines):
+async def test_successful_request_is_not_logged(make_site, lines):
     site = await make_site(answer_with())
     assert (await site.async_ask()).status == 200
     assert not lines
     assert site.state.metrics.get_count("requests") == 1
 
 
-async def test_a_request_that_was_sent_twice_leaves_its_decisions(make_site, lines):
-    """The first target resets the connection; the route allows a second send."""
+async def test_retried_request_logs_its_decisions(make_site, lines):
+    """The first target resets the connection; the route allows a second attempt."""
     site = await make_site(async_reset, answer_with())
     assert (await site.async_ask()).status == 200
     text = b"".join(lines).decode()
@@ -58,7 +58,7 @@
     assert "reason=lost" in text
 
 
-async def test_a_caller_that_leaves_is_told_from_one_that_was_cut_off(make_site, lines):
+async def test_disconnected_caller_is_logged_as_such(make_site, lines):
     async def script(request, writer):
         await asyncio.sleep(30)
 
@@ -72,14 +72,14 @@
     assert b'outcome="caller left"' in lines[-1]
 
 
-async def test_a_refusal_at_the_head_says_by_which_table(make_site, lines):
+async def test_refusal_logs_table_version(make_site, lines):
     site = await make_site(answer_with())
     assert (await site.async_ask(path="/other")).status == 404
     assert b"outcome=UNKNOWN_ROUTE" in lines[-1]
     assert b"table=1" in lines[-1]
 
 
-async def test_a_flood_of_refusals_costs_the_budget_and_no_more(make_site, lines):
+async def test_refusals_log_no_more_than_budget(make_site, lines):
     site = await make_site(answer_with())
     event_log.budget = LineBudget(lines_a_second=0, burst=10)
     try:
@@ -91,10 +91,10 @@
         event_log.budget = None
 
 
-async def test_the_metrics_address_shows_what_was_counted(make_site):
+async def test_metrics_address_serves_metrics(make_site):
     site = await make_site(stream_events(range(1, 4)), kind=RequestKind.STREAM)
-    free = Address("127.0.0.1", 0)
-    site.state.settings = replace(site.state.settings, metrics=free)
+    free_address = Address("127.0.0.1", 0)
+    site.state.settings = replace(site.state.settings, metrics=free_address)
     operators = OperatorsTask(
         site.state, site.chooser.target_health, site.forwarder.suspects
     )
@@ -111,11 +111,11 @@
     assert "tarragonward_domains_resting 0.0" in text
 
 
-async def test_operators_see_and_lift_what_is_refused(make_site):
-    """A request stays refused after its targets' software was mended."""
+async def test_operators_list_and_clear_suspects(make_site):
+    """A suspect stays refused after its targets' software is fixed, until cleared."""
     site = await make_site(answer_with())
-    free = Address("127.0.0.1", 0)
-    site.state.settings = replace(site.state.settings, metrics=free)
+    free_address = Address("127.0.0.1", 0)
+    site.state.settings = replace(site.state.settings, metrics=free_address)
     suspects = site.forwarder.suspects
     for target in range(3):
         suspects.tracker.record_crash(b"12345678", 9, target, read_clock())
@@ -135,7 +135,7 @@
     await operators.async_unload()
 
 
-async def test_a_metrics_address_in_use_costs_no_caller_its_answer(make_site, lines):
+async def test_host_serves_without_occupied_metrics_address(make_site, lines):
     site = await make_site(answer_with())
     site.state.settings = replace(site.state.settings, metrics=site.server.address)
     operators = OperatorsTask(
@@ -147,13 +147,11 @@
     await operators.async_unload()
 
 
-async def test_the_error_of_a_prediction_is_counted_and_in_the_requests_line(
-    make_site, lines
-):
-    """An engine answers half a second later than predicted, over the aim.
+async def test_prediction_error_is_counted_and_logged(make_site, lines):
+    """An engine answers half a second later than predicted, and misses the aim.
 
-    Operators find the error in the metrics by length class, and beside the first
-    event in the line of the request.
+    The error is in the metrics by length class, and the request's log line has both
+    the predicted and the actual time of the first event.
     """
 
     async def script(request, writer):
--- a/libraries/gateway/tests/test_peers.py
+++ b/libraries/gateway/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Hosts that tell each other over real sockets on the loopback network."""
+"""Tests of the hints between hosts, over real sockets on the loopback network."""
 
 import asyncio
 import socket
@@ -44,7 +44,7 @@
 
 
 @pytest.fixture
-async def three():
+async def three_peers():
     port = find_free_port()
     async with AsyncExitStack() as stack:
         peers = [Peers(build_state(host, port)) for host in HOSTS]
@@ -54,26 +54,28 @@
         yield peers
 
 
-async def test_sections_reach_all_hosts_that_a_seed_leads_to(three):
-    heard = {}
-    for number, part in enumerate(three):
+async def test_sections_reach_all_hosts_found_through_seed(three_peers):
+    received = {}
+    for number, part in enumerate(three_peers):
         part.add_section(
             "load",
             lambda number=number: {"n": number},
-            lambda name, data, age, number=number: heard.__setitem__(
+            lambda name, data, age, number=number: received.__setitem__(
                 (number, name), (data["n"], age)
             ),
         )
-    await async_wait_for(lambda: len(heard) == 6)
-    assert {value for value, age in heard.values()} == {0, 1, 2}
-    assert all(0.0 <= age < 5.0 for _, age in heard.values())
-    assert three[1].get_control_address(f"host-{HOSTS[2]}") == Address(HOSTS[2], 3)
+    await async_wait_for(lambda: len(received) == 6)
+    assert {value for value, age in received.values()} == {0, 1, 2}
+    assert all(0.0 <= age < 5.0 for _, age in received.values())
+    assert three_peers[1].get_control_address(f"host-{HOSTS[2]}") == Address(
+        HOSTS[2], 3
+    )
 
 
-async def test_what_is_malformed_is_counted_and_harms_nothing(three):
-    one = three[0]
+async def test_malformed_datagrams_are_counted_and_dropped(three_peers):
+    one = three_peers[0]
     one.add_section("load", lambda: None, lambda name, data, age: data["absent"])
-    three[1].add_section("load", lambda: 7, lambda name, data, age: None)
+    three_peers[1].add_section("load", lambda: 7, lambda name, data, age: None)
     await async_wait_for(lambda: one.members.count_hosts() == 3)
     await async_wait_for(
         lambda: one._state.metrics.get_count("peer_sections_refused") > 0
@@ -84,22 +86,24 @@
     assert one.members.count_hosts() == 3
 
 
-async def test_a_doubled_datagram_is_taken_once(three):
-    """The network doubles a datagram: a digest that is added up counted twice."""
-    one, other = three[0], three[1]
-    taken = []
+async def test_duplicated_datagram_is_processed_once(three_peers):
+    """The network duplicates a datagram, which would count an added digest twice."""
+    one, other = three_peers[0], three_peers[1]
+    processed = []
     other.add_section("load", lambda: 1, lambda name, data, age: None)
     await async_wait_for(lambda: one.members.count_hosts() == 3)
-    one.add_section("load", lambda: None, lambda name, data, age: taken.append(data))
+    one.add_section(
+        "load", lambda: None, lambda name, data, age: processed.append(data)
+    )
     data = other._pack({"load": msgpack.packb(5)})
     address = (HOSTS[1], one._port)
     one.datagram_received(data, address)
     one.datagram_received(data, address)
-    assert taken.count(5) == 1
+    assert processed.count(5) == 1
 
 
-async def test_a_leaving_host_is_left_out_at_once(three):
-    one, other = three[0], three[1]
+async def test_leaving_host_is_omitted_at_once(three_peers):
+    one, other = three_peers[0], three_peers[1]
     await async_wait_for(lambda: len(one.get_names()) == 2)
     other.set_leaving()
     await async_wait_for(lambda: len(one.get_names()) == 1)
--- a/libraries/gateway/tests/test_reload.py
+++ b/libraries/gateway/tests/test_reload.py
@@ -45,7 +45,7 @@
     return task
 
 
-async def test_what_may_change_is_taken_over_without_a_signal(state, path):
+async def test_reloadable_settings_are_applied_without_signal(state, path):
     task, changes = await make_task(state, path), []
     task.on_change.append(lambda: changes.append(state.settings.bounds))
     text = TEXT.replace("drain_seconds = 2", "drain_seconds = 5")
@@ -56,11 +56,11 @@
     assert len(changes) == 1
 
 
-async def test_an_address_that_changes_waits_for_a_restart(state, path):
-    """The settings name another address of callers; sockets are bound already.
+async def test_changed_address_needs_restart(state, path):
+    """The address for callers changes, but the sockets are already bound.
 
-    Half of a change is worse than none: the host serves on at the old address and
-    says which part needs a restart; what may change is taken over all the same.
+    The host keeps the old address and logs which setting needs a restart; reloadable
+    settings are still applied.
     """
     task = await make_task(state, path)
     text = TEXT.replace("drain_seconds = 2", "drain_seconds = 5")
@@ -80,8 +80,8 @@
         "\ufeff\x00",
     ],
 )
-async def test_settings_that_are_not_valid_change_nothing(state, path, broken):
-    """The file is read while it is being written, or holds a slip of the pen."""
+async def test_invalid_settings_change_nothing(state, path, broken):
+    """The file is read while it is being written, or has a mistake."""
     task, before = await make_task(state, path), state.settings
     path.write_text(broken)
     task.check()
@@ -94,7 +94,7 @@
     assert state.settings.bounds.drain_seconds == 3
 
 
-async def test_a_file_that_is_gone_for_a_while_changes_nothing(state, path):
+async def test_missing_file_changes_nothing(state, path):
     task, before = await make_task(state, path), state.settings
     path.unlink()
     task.check()
@@ -105,7 +105,7 @@
     assert state.settings.bounds.drain_seconds == 3
 
 
-async def test_a_signal_has_the_file_read_at_once(state, path, monkeypatch):
+async def test_requested_reload_reads_file_at_once(state, path, monkeypatch):
     monkeypatch.setattr(
         "tarragonward_gateway.const.SETTINGS_CHECK_INTERVAL_SECONDS", 600.0
     )
--- a/libraries/gateway/tests/test_run.py
+++ b/libraries/gateway/tests/test_run.py
@@ -1,4 +1,4 @@
-"""Tests of one request's sends: what of a stream may follow what, and one end."""
+"""Tests of the attempts of one request: resumed streams, and a single answer."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -15,10 +15,10 @@
     return b"".join(build_event(number) for number in numbers)
 
 
-async def test_a_stream_that_ends_within_an_event_goes_on_at_the_next_target(make_site):
-    """The first engine ends its answer in due form, but within its third event.
+async def test_stream_that_ends_within_event_resumes_at_next_target(make_site):
+    """The first engine ends its answer correctly, but within its third event.
 
-    Taken for whole, the stream would end an event short and look complete.
+    If the stream were accepted, it would lack an event and look complete.
     """
     site = await make_site(
         stream_events([1, 2], build_event(3)[:9]), stream_events([3, 4]), **RESUMABLE
@@ -28,8 +28,8 @@
     assert answer.body == join_events(1, 2, 3, 4)
 
 
-async def test_events_that_a_resumed_stream_repeats_are_dropped(make_site):
-    """The next engine begins anew at the first event, whatever it was asked."""
+async def test_repeated_events_of_resumed_stream_are_dropped(make_site):
+    """The next engine starts again at the first event despite the last event id."""
     site = await make_site(
         stream_events([1, 2], is_ended=False), stream_events([1, 2, 3]), **RESUMABLE
     )
@@ -38,7 +38,7 @@
     assert answer.body == join_events(1, 2, 3)
 
 
-async def test_a_stream_without_an_event_is_no_answer(make_site):
+async def test_stream_without_event_is_no_answer(make_site):
     """An engine ends its stream before the first event; the next one has the answer."""
     site = await make_site(stream_events([]), stream_events([1]), **RESUMABLE)
     answer = await site.async_ask("POST")
@@ -46,10 +46,10 @@
     assert answer.body == join_events(1)
 
 
-async def test_an_account_that_a_caller_names_goes_nowhere(make_site):
-    """A caller without a key names an account on a route that needs no key.
+async def test_account_header_of_caller_is_not_forwarded(make_site):
+    """A caller without a key sends an account header on a route that needs no key.
 
-    The target would bill, and serve, the account that was named.
+    If it were forwarded, the target would bill and serve that account.
     """
     site = await make_site(answer_with(), is_public=True)
     caller = await RawCaller.async_open(site.server.address)
@@ -60,12 +60,12 @@
     assert site.targets[0].seen[0].get("x-client-account") == []
 
 
-async def test_time_that_ends_while_the_answer_goes_out_gives_no_second_one(
+async def test_deadline_after_complete_answer_sends_no_second_one(
     make_site, monkeypatch
 ):
-    """The whole stream was given, and its time ends before its target is let go.
+    """The stream was delivered, and the deadline passes before its target is released.
 
-    The caller has its one answer; an end decided now would be a second one.
+    The caller already has its answer; ending the request now would send a second one.
     """
     open_http = run.async_open_http
 
