--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -1,4 +1,4 @@
-"""Hosts tell those of other cells what lies on their engines."""
+"""Tests of the gossip about engines between cells."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def told(build_peer_state, monkeypatch):
-    """Return a chooser, its gossip, and what it told to whom."""
+    """Return a chooser, its gossip, and the list of sections sent with recipients."""
     monkeypatch.setattr(cell_gossip, "MAX_MESH_PEERS", 1)
     state = build_peer_state(0)
     state.install_table(
@@ -56,7 +56,7 @@
 
 
 def test_a_long_reading_is_told_at_once_to_hosts_of_other_cells(told):
-    """Until they hear of it they place long prompts on the same engines."""
+    """Without the message, hosts of other cells would choose the same engines."""
     chooser, _, messages = told
     begin(chooser, placement_const.IMMEDIATE_NOTICE_SECONDS)
     assert not messages
@@ -65,7 +65,7 @@
 
 
 def test_a_reading_that_goes_on_is_told_again(told, monkeypatch):
-    """A hint is forgotten while some prompts are still read."""
+    """Hints expire sooner than the longest prefills end."""
     chooser, gossip, messages = told
     work = begin(chooser, 6.0)
     now = 5.0 + cell_gossip.c.PREFILL_REPEAT_SECONDS
@@ -94,7 +94,7 @@
 
 
 def test_what_other_cells_are_told_of_readings_is_bounded(told, monkeypatch):
-    """In a fleet of hundreds each host told, and read, of each long prompt."""
+    """With hundreds of hosts, a message to all per long prompt overloaded each host."""
     chooser, _, messages = told
     rate = cell_gossip.c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND
     clock = [read_clock()]
@@ -108,7 +108,7 @@
 
 
 def test_a_very_large_fleet_tells_nothing_beyond_its_cells(told, monkeypatch):
-    """Nobody plans among thousands of engines, so word of them is work for nothing."""
+    """No host plans across cells among thousands of engines, so gossip has no use."""
     chooser, gossip, messages = told
     assert gossip._list_remote_hosts() == [FAR]
     monkeypatch.setattr(cell_gossip.c, "MAX_CROSS_CELL_ENGINES", -1)
--- a/libraries/gateway/tests/test_crashes.py
+++ b/libraries/gateway/tests/test_crashes.py
@@ -13,7 +13,7 @@
 
 
 def crash_on_mark(targets):
-    """Return a script: a marked request ends the target, all others are answered."""
+    """Return a script: a marked request crashes the target, others are answered."""
     answer = answer_with()
 
     async def script(request, writer):
@@ -40,7 +40,7 @@
 
 
 async def test_a_request_that_crashed_three_targets_is_sent_to_no_more(make_site):
-    """A caller repeats a request that ends each target: ten repeats ended twenty."""
+    """A caller repeats a request that crashes targets: ten repeats crashed twenty."""
     site = await make_crashing_site(make_site, 8)
     for _ in range(6):
         await ask(site, MARK)
@@ -49,7 +49,7 @@
 
 
 async def test_a_target_that_only_drops_connections_makes_no_suspect(make_site):
-    """Links that lose connections would make suspects of all that pass them."""
+    """Lost connections on an unreliable link must not turn requests into suspects."""
     site = await make_site(*[async_reset] * 2, attempts=2)
     for _ in range(4):
         assert (await ask(site, MARK)).status == 502
@@ -58,7 +58,7 @@
 
 
 async def test_a_victim_is_answered_by_the_next_target(make_site):
-    """What is in progress beside a crash must not be refused for it."""
+    """Requests that were in progress on a crashed target must not be refused."""
     site = await make_crashing_site(make_site, 8)
     victim = FINGERPRINT
     tracker = site.forwarder.suspects.tracker
@@ -70,7 +70,7 @@
 
 
 async def test_a_refusal_tells_the_truth_and_no_time_to_come_back(make_site):
-    """A caller told when to come back would end the next target then."""
+    """A caller that was told when to retry would crash the next target."""
     site = await make_crashing_site(make_site, 8, attempts=3)
     has_run = await ask(site, MARK)
     assert (has_run.status, has_run.get("x-result-code")) == (502, ["4006"])
@@ -80,7 +80,7 @@
 
 
 async def test_a_suspect_is_tried_where_nothing_else_is_in_progress(make_site):
-    """A third crash must end as little other work as can be."""
+    """A third crash should lose as little other work as possible."""
     site = await make_crashing_site(make_site, 3)
     chooser = site.chooser
     need = TargetRequirements("s", site.state.table.routes[0], 0.0)
--- a/libraries/gateway/tests/test_limits.py
+++ b/libraries/gateway/tests/test_limits.py
@@ -1,10 +1,10 @@
-"""Tests of targets that name how many requests a second they take."""
+"""Tests of targets that announce a limit of requests per second."""
 
 from tarragonward_standins import answer_with, stream_events
 
 
 async def test_a_target_that_names_a_limit_gets_no_more(make_site):
-    """A target in need named one request a second and got three in each."""
+    """An overloaded target announced one request per second and received three."""
     limited = answer_with(lines=["X-Target-Limit: 1"])
     site = await make_site(limited, answer_with())
     for _ in range(40):
@@ -16,7 +16,7 @@
 async def test_all_targets_limited_are_refused_at_once_with_a_time_to_come_back(
     make_site,
 ):
-    """Callers that wait for a limit until their deadline get nothing and learn late."""
+    """A caller must not wait until its deadline for a limit that admits nothing."""
     site = await make_site(answer_with(lines=["X-Target-Limit: 0.5"]))
     answers = [await site.async_ask() for _ in range(6)]
     statuses = [answer.status for answer in answers]
@@ -28,7 +28,7 @@
 
 
 async def test_a_limit_that_is_named_no_more_has_ended(make_site):
-    """A target that has recovered must not be left at the rate it once named."""
+    """A recovered target must not be held to the rate that it once announced."""
     named = []
 
     async def script(request, writer):
@@ -44,7 +44,7 @@
 
 
 async def test_a_target_that_names_a_limit_helps_to_read_no_prompt(make_engines):
-    """A part read for another target is work that its limit leaves out."""
+    """A target's rate limit does not count the prefill that it does for others."""
     answer = stream_events(range(1, 3))
     site = await make_engines(*[answer] * 4)
     limited = site.state.registry.get_ready("s")[3]
--- a/libraries/gateway/tests/test_prompts.py
+++ b/libraries/gateway/tests/test_prompts.py
@@ -1,4 +1,4 @@
-"""Check how prompts are sent to engines whose passes are published."""
+"""Tests of how prompts are sent to engines with published pass times."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 async def test_long_prompt_is_read_by_several_engines(make_engines):
-    """The leader gets the addresses of the others; a short prompt has no helpers."""
+    """The leader receives the helpers' addresses; a short prompt has no helpers."""
     site = await make_engines(*[stream_events([1, 2])] * 3)
     answer = await site.async_ask_prompt("300000,500")
     assert answer.status == 200
@@ -35,10 +35,10 @@
 
 
 async def test_helper_that_is_gone_is_left_out_of_the_next_try(make_engines):
-    """A leader refuses, as it can't reach a helper; the caller gets its answer.
+    """A helper that the leader reports as unreachable must not be used again.
 
-    Engine t1 or t2 is named as gone by whichever leader is asked first. The second
-    try is led by another engine, and the one that is gone reads no part of it.
+    The first leader refuses and names one of the other engines. The next attempt
+    succeeds without that engine, and the caller receives its answer.
     """
     gone, asked = [], []
 
@@ -61,7 +61,7 @@
 
 
 async def test_prompt_that_no_group_can_hold_is_refused_at_once(make_engines):
-    """The caller is told when to come back, and that nothing has run."""
+    """A prompt beyond the memory of all engines is refused without a send."""
     site = await make_engines(stream_events([1]))
     async with asyncio.timeout(2):
         answer = await site.async_ask_prompt("900000,500")
@@ -70,10 +70,10 @@
 
 
 async def test_engine_that_pauses_in_mid_stream_is_not_left(make_engines, monkeypatch):
-    """The engine pauses for long after its second event; all others are full.
+    """A stream must not be aborted while its engine pauses and all others are full.
 
-    Left for its silence, with the one send that remains refused, the stream would be
-    broken off though the engine was at work. The caller reads it whole, later.
+    If the engine were abandoned, the one remaining send would be refused. The caller
+    receives the complete stream later.
     """
     monkeypatch.setattr(c, "SILENCE_MIN_PAUSE_SECONDS", 0.05)
     started = []
@@ -102,7 +102,7 @@
 
 
 async def test_engine_silent_before_its_first_event_is_left(make_engines, monkeypatch):
-    """The engine takes the prompt and says nothing; another one answers in time."""
+    """An engine accepts the prompt and sends nothing; another one answers in time."""
     monkeypatch.setattr(c, "SILENCE_MIN_FIRST_SECONDS", 0.05)
     asked = []
 
@@ -121,10 +121,10 @@
 
 
 async def test_a_silent_engine_is_not_left_for_nobody(make_engines, monkeypatch):
-    """One engine is busy and says nothing for a while; the other one has crashed.
+    """A silent engine must not be abandoned when no other engine can take over.
 
-    Left for its silence, the request had nowhere to go: the caller got 502, as it may
-    have run, though its engine was at work and answered a moment later.
+    The other engine has crashed. Abandoned, the request had no target left and the
+    caller received 502, although the engine was working and answered a moment later.
     """
     monkeypatch.setattr(c, "SILENCE_MIN_FIRST_SECONDS", 0.05)
     asked = []
@@ -146,7 +146,7 @@
 
 
 class Orders:
-    """Engines that hold what is asked, by engine and reservation."""
+    """Fake reservation calls; held contains (engine, reservation) pairs."""
 
     def __init__(self):
         self.held = set()
@@ -163,7 +163,7 @@
 
 
 async def test_memory_held_for_a_prompt_is_freed_when_its_send_ends(make_engines):
-    """A prompt beyond one engine's memory is answered; no engine stays short of it."""
+    """Memory reserved for a prompt on several engines must not leak."""
     site = await make_engines(*[stream_events([1])] * 4)
     orders = site.forwarder._reservations._calls = Orders()
     answer = await site.async_ask_prompt("700000,500")
@@ -177,9 +177,9 @@
 async def test_a_helper_that_cannot_be_reached_is_left_out_before_the_send(
     make_engines, monkeypatch
 ):
-    """An engine goes dark and stays registered; the next long prompt would need it.
+    """An engine is unreachable but still registered when a long prompt needs helpers.
 
-    Sent its address, the leader would find out after a stall, and the send be spent.
+    A leader that was sent its address would stall, and the send would be wasted.
     """
     monkeypatch.setattr(placement_const, "CONNECTION_FRESH_SECONDS", 0.0)
     site = await make_engines(*[stream_events([1])] * 3)
@@ -200,7 +200,7 @@
 
 
 async def test_a_callers_own_priority_does_not_reach_the_engine(make_engines):
-    """Engines admit by it, and a caller who sets it would go before all others."""
+    """Engines admit by this header, so a caller could overtake all others with it."""
     site = await make_engines(stream_events([1, 2]))
     lines = ["X-Tokens: 2000,500", "X-Priority: 0", "x-priority: 1"]
     assert (await site.async_ask("POST", lines=lines)).status == 200
@@ -209,9 +209,10 @@
 
 
 async def test_a_host_learns_by_events_that_an_engine_is_slow(make_engines):
-    """Each event comes 0.2 s after the one before; a pass is published as 0.043 s.
+    """A slow engine must not be chosen by its published pass time alone.
 
-    The caller sees a slow stream; the next prompt goes to the other engine.
+    Events arrive every 0.2 s, and the published time of a pass is 0.043 s. The next
+    prompt is sent to the other engine.
     """
 
     async def script(request, writer):
--- a/libraries/gateway/tests/test_sharing.py
+++ b/libraries/gateway/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""One host's part of what all hosts share: repeats, and connections to targets."""
+"""Tests of a host's share of the retry budget and of target connections."""
 
 import asyncio
 from dataclasses import replace
@@ -16,9 +16,9 @@
 
 
 async def test_without_budget_no_second_target_gets_the_request(make_site):
-    """All targets refuse; the hosts' repeats alone would keep them overloaded.
+    """Without a budget, retries alone would keep refusing targets overloaded.
 
-    The caller is told at once that nothing ran, and when to come back.
+    The caller is told at once that nothing ran, and when to retry.
     """
     site = await make_site(refuse_with(), answer_with())
     set_bounds(site, retry_share=0.0, retry_slack=0.0)
@@ -44,10 +44,10 @@
 
 
 async def test_a_host_keeps_to_its_part_of_a_targets_connections(make_site):
-    """A target resets connections beyond its limit, and what was sent may have run.
+    """A target resets connections beyond its limit, and their requests may have run.
 
-    A hundred from all of fifty hosts are two a host: the third request at once goes
-    to the other target, the fifth is refused before anything is sent.
+    A limit of 100 shared by 50 hosts is two per host: the third concurrent request
+    is sent to the other target, and the fifth is refused before it is sent.
     """
     held = asyncio.Event()
 
@@ -70,10 +70,10 @@
 
 
 async def test_a_repeat_that_reached_nobody_spends_nothing(make_site):
-    """A failure domain is cut off; each request's repeat goes there first, in vain.
+    """Retries to an unreachable failure domain must not exhaust the retry budget.
 
-    One target refuses, the next cannot be reached, the third answers. What arrived
-    nowhere is no repeat, or answers that break off later find the budget spent.
+    One target refuses, the next cannot be reached, the third answers. Only the retry
+    that reached a target is charged.
     """
     site = await make_site(refuse_with(), answer_with(), answer_with())
     await site.targets[1].async_unload()
--- a/libraries/gateway/tests/test_suspect_task.py
+++ b/libraries/gateway/tests/test_suspect_task.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts tell each other of requests that targets end under."""
+"""Tests of the exchange of suspect requests between hosts."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -59,14 +59,14 @@
 
 
 async def test_crashes_that_hosts_see_one_each_are_added_up(hosts, wait_for):
-    """A request is repeated at another host each time; none sees it end two targets."""
+    """Repeated at another host each time, a request crashes one target per host."""
     for target, host in enumerate(hosts):
         host.crash(target)
     await wait_for(lambda: {h.verdict for h in hosts} == {Verdict.REFUSED})
 
 
 async def test_a_host_that_hears_none_of_the_others_is_isolated(hosts):
-    """Alone after the loss of all hosts, it lets a request rest after one crash."""
+    """A host that has lost all others must delay a request after one crash already."""
     assert not any(host.watch.is_isolated() for host in hosts)
     members = hosts[1].peers.members
     members.remove_silent(read_clock() + 2 * members.peer_timeout_seconds)
@@ -76,13 +76,13 @@
 async def test_a_host_that_starts_hears_what_is_refused(
     hosts, wait_for, build_peer_state
 ):
-    """A host that was restarted must not let three more targets end."""
+    """A restarted host must not allow three more crashes."""
     for target in range(3):
         hosts[0].crash(target)
     await wait_for(lambda: {h.verdict for h in hosts} == {Verdict.REFUSED})
     await hosts[2].async_unload()
     new = Host(build_peer_state(2))
-    # The closed socket leaves its port at the loop's next turn.
+    # The port of the closed socket is released in the loop's next iteration.
     await asyncio.sleep(0)
     await new.async_setup()
     try:
@@ -101,7 +101,7 @@
 
 
 def test_keepers_are_of_each_failure_domain():
-    """Crashes must be added up on each side while failure domains are cut off."""
+    """Crashes must be counted on each side while failure domains are cut off."""
     peers = tuple(
         KnownPeer(
             HostIdentity(Address(f"10.0.{number % 5}.{number}", 1), number),
