--- a/libraries/gateway/tests/test_idle_timeout.py
+++ b/libraries/gateway/tests/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""Check that a silent target is left only while another may go on."""
+"""Tests that a silent target is abandoned only if another one can take over."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
 
 
 async def test_silence_ends_nothing_while_no_other_may_go_on(monkeypatch):
-    """A caller that no other target can serve keeps the answer that may still come."""
+    """Without another target the caller must keep the chance of a late answer."""
     monkeypatch.setattr(c, "SILENCE_RECHECK_SECONDS", 0.01)
     asked = []
 
@@ -42,14 +42,14 @@
 
 
 async def test_an_overdue_target_is_left_for_one_that_would_be_in_time():
-    """It is not silent yet, so it is not to blame; the prompt waits there unread."""
+    """An overdue target is not silent yet, so no fault must be recorded."""
     with pytest.raises(StreamMovedError):
         async with IdleTimeout(5.0, 5.0, lambda: True, 0.01, lambda: True):
             await asyncio.Event().wait()
 
 
 async def test_an_overdue_target_is_kept_while_no_other_is_in_time(monkeypatch):
-    """A second read of the prompt elsewhere would only come later still."""
+    """Processing the prompt again elsewhere would take even longer."""
     monkeypatch.setattr(c, "SILENCE_RECHECK_SECONDS", 0.01)
     with pytest.raises(TargetSilentError):
         async with IdleTimeout(0.05, 5.0, lambda: True, 0.01, lambda: False):
@@ -57,14 +57,14 @@
 
 
 async def test_time_in_which_the_caller_does_not_read_is_not_counted():
-    """The target is not at fault while the caller's connection takes nothing."""
+    """The target is not at fault while the caller's connection accepts nothing."""
     async with IdleTimeout(0.02, 0.02, lambda: True) as watch:
         watch.pause()
         await asyncio.sleep(0.06)
 
 
 async def test_end_of_the_request_is_not_taken_for_silence():
-    """The request's own limit passes through; it has another answer."""
+    """The request's own time limit must not be reported as a silent target."""
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.01), IdleTimeout(5.0, 5.0, lambda: True):
             await asyncio.Event().wait()
--- a/libraries/gateway/tests/test_moving.py
+++ b/libraries/gateway/tests/test_moving.py
@@ -1,4 +1,4 @@
-"""Streams and prompts that leave an engine, and where they go on."""
+"""Tests of streams and prompts that move to another engine."""
 
 import asyncio
 import socket
@@ -20,8 +20,8 @@
 )
 
 
-def read_for_long(site, target, seconds):
-    """Let a peer tell that an engine reads a part of its long prompt for so long."""
+def report_long_prefill(site, target, seconds):
+    """Apply a peer's report that an engine prefills its long prompt for so long."""
     weight, aim = 200, 3_000
     entry = [
         0,
@@ -36,15 +36,15 @@
     site.chooser.apply_digest("peer", {target: entry}, 0.0)
 
 
-def doubt_others(site, target_id):
-    """Let all targets but one have failed to connect."""
+def fail_others(site, target_id):
+    """Record failed connections to all targets but one."""
     for target in site.state.registry.get_all():
         if target.id != target_id:
             site.chooser.probes.record(target, Evidence.NOT_CONNECTED)
 
 
 def begin_stream(on_start):
-    """Return a script that gives two events, tells that it has, and goes silent."""
+    """Return a script that sends two events, calls on_start, and goes silent."""
 
     async def script(request, writer):
         lines = ("Content-Type: text/event-stream",)
@@ -59,12 +59,11 @@
 
 
 async def test_a_stream_moves_off_an_engine_that_begins_to_read_for_long(make_engines):
-    """A short prompt's answer is written, as another host reads a long one beside it.
+    """A stream must not stall while its engine prefills another host's long prompt.
 
-    The engine writes nothing for two seconds, and the caller would leave. It is told
-    at once by the other host, goes on at the next event on an engine that is free, and
-    the caller has the whole answer within the pause that it bears. The engine that was
-    left is in no doubt.
+    The engine sends nothing for two seconds, and the caller would disconnect. The
+    other host reports the prefill, the stream resumes on a free engine, and the caller
+    receives all of it within the pause aim. The first engine is not ejected.
     """
     asked = []
 
@@ -72,7 +71,7 @@
         asked.append(request)
         target = request.get("x-expected-target")[0]
         if len(asked) == 1:
-            start = begin_stream(lambda: read_for_long(site, target, 2.0))
+            start = begin_stream(lambda: report_long_prefill(site, target, 2.0))
             await start(request, writer)
             return
         await stream_events([3, 4])(request, writer)
@@ -89,7 +88,7 @@
 
 
 async def test_a_stream_stays_where_no_other_engine_would_be_in_time(make_engines):
-    """All engines read for long: left, the stream would only wait elsewhere."""
+    """All engines have long prefills, so a moved stream would wait just as long."""
     asked = []
 
     async def script(request, writer):
@@ -110,18 +109,17 @@
 
 
 async def test_a_stream_does_not_move_to_an_engine_in_doubt(make_engines):
-    """One of two engines has crashed; the other one reads a long prompt for a moment.
+    """Streams must not move to a crashed engine during a prefill on the live one.
 
-    The dead one is idle by all that is known, so every stream would move to it. Each
-    comes back at once, finds its place at the live engine taken and the queue full,
-    and is broken off. Staying costs a pause.
+    The dead engine has no reported load, so every stream would move to it, return at
+    once to a full queue and be aborted. Staying costs only a pause.
     """
     asked = []
 
     async def script(request, writer):
         asked.append(request.get("x-expected-target")[0])
-        doubt_others(site, asked[0])
-        start = begin_stream(lambda: read_for_long(site, asked[0], 2.0))
+        fail_others(site, asked[0])
+        start = begin_stream(lambda: report_long_prefill(site, asked[0], 2.0))
         await start(request, writer)
 
     site = await make_engines(
@@ -132,16 +130,16 @@
 
 
 async def test_a_prompt_does_not_leave_a_silent_engine_for_one_in_doubt(make_engines):
-    """One of two engines has crashed; prompts wait in the queue of the other one.
+    """Queued prompts must not move to a crashed engine when they are late.
 
-    Late by their prediction, they would leave their places for the dead engine, and
-    come back to a queue that is full: they are refused, though each would have run.
+    They would give up their places for the dead engine, return to a full queue and be
+    refused, although each would have run.
     """
     asked = []
 
     async def script(request, writer):
         asked.append(request.get("x-expected-target")[0])
-        doubt_others(site, asked[0])
+        fail_others(site, asked[0])
         await asyncio.sleep(1.0)
         await stream_events([1, 2])(request, writer)
 
@@ -154,7 +152,7 @@
 
 
 async def async_lose(request, writer):
-    """Let the engine crash as it is asked."""
+    """Abort the connection, as an engine that crashes."""
     writer.transport.abort()
 
 
@@ -162,10 +160,10 @@
     ("fail", "engines"), [(refuse_with(), 2), (async_lose, 3)], ids=["refused", "lost"]
 )
 async def test_a_stream_that_fails_where_it_went_returns(make_engines, fail, engines):
-    """A stream moves; the engine that it moves to is full by then, or crashes.
+    """A stream moves to an engine that refuses it or crashes.
 
-    Both targets that the route allows have had it. Broken off, the caller would lose
-    its answer, though the engine that it came from goes on after its reading.
+    Both targets that the route allows have been used. The stream must return to the
+    first engine, which continues after its prefill, instead of being aborted.
     """
     asked = []
 
@@ -173,7 +171,7 @@
         target = request.get("x-expected-target")[0]
         asked.append(target)
         if len(asked) == 1:
-            start = begin_stream(lambda: read_for_long(site, target, 2.0))
+            start = begin_stream(lambda: report_long_prefill(site, target, 2.0))
             await start(request, writer)
         elif len(asked) == 2:
             await fail(request, writer)
@@ -189,7 +187,7 @@
 
 
 async def async_make_with_a_dead_engine(make_engines, script, **route):
-    """Return a site of two engines, of which one has just crashed, still registered."""
+    """Return a site with two registered engines, of which one has just crashed."""
     site = await make_engines(script, script, **route)
     dead = site.state.registry.get("t1")
     with socket.socket() as probe:
@@ -200,11 +198,10 @@
 
 
 async def test_a_stream_whose_new_engine_is_dead_returns(make_engines, monkeypatch):
-    """An engine crashes, and another host's long reading holds a stream up beside it.
+    """A stream moves to an engine whose crash has not been noticed yet.
 
-    The stream leaves for the one that has crashed, which nobody has found out yet.
-    Were the engine that it came from not asked again, its caller's answer would be
-    broken off, though that engine goes on after the reading.
+    A long prefill delays the stream at the first engine. The stream must return there,
+    as that engine continues after the prefill, instead of being aborted.
     """
     asked = []
 
@@ -212,7 +209,7 @@
         asked.append(request)
         target = request.get("x-expected-target")[0]
         if len(asked) == 1:
-            start = begin_stream(lambda: read_for_long(site, target, 2.0))
+            start = begin_stream(lambda: report_long_prefill(site, target, 2.0))
             await start(request, writer)
         else:
             await stream_events([3, 4])(request, writer)
@@ -227,11 +224,11 @@
 
 
 async def test_a_stream_moves_though_an_event_comes_as_it_leaves(make_engines):
-    """A stream is broken off in the middle, though two engines are well.
+    """A stream must not be aborted because an event arrives during its move.
 
-    A long reading holds it up, and the one repeat that the host has left is taken for
-    the move. An event comes before the engine is left; taken for the end of the move,
-    the move needs a second repeat, and there is none.
+    A long prefill delays the stream, and the move is charged the last retry of the
+    host's budget. An event arrives before the engine is abandoned. If it ended the
+    move, another move would need a second retry, and the budget has none.
     """
     asked = []
 
@@ -243,7 +240,7 @@
 
         def give_event_and_read():
             writer.write(build_chunk(build_event(3)))
-            read_for_long(site, request.get("x-expected-target")[0], 2.0)
+            report_long_prefill(site, request.get("x-expected-target")[0], 2.0)
 
         await begin_stream(give_event_and_read)(request, writer)
 
@@ -260,9 +257,10 @@
 async def test_a_prompt_that_left_a_silent_engine_for_a_dead_one_returns(
     make_engines, monkeypatch
 ):
-    """A busy engine is left before its first event, and the other one has crashed.
+    """A silent engine is abandoned, and the other one has crashed unnoticed.
 
-    The caller would hear that its prompt may have run, and wait for nothing.
+    The prompt must return to the first engine. Otherwise the caller would be told that
+    it may have run.
     """
     monkeypatch.setattr(c, "SILENCE_MIN_FIRST_SECONDS", 0.05)
     asked = []
@@ -284,7 +282,7 @@
 
 
 def choose_first(site, name):
-    """Let the first send of a request go to an engine."""
+    """Make an engine the target of the first send of a request."""
     choose = site.chooser.choose
     site.chooser.choose = lambda need: choose(
         need if need.tried else replace(need, leader=name)
--- a/libraries/gateway/tests/test_overdue.py
+++ b/libraries/gateway/tests/test_overdue.py
@@ -1,4 +1,4 @@
-"""Prompts whose first event is overdue, and where they go."""
+"""Tests of moving prompts whose first event is overdue."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 async def make_pair(make_engines):
-    """Return a function that makes two engines; the first one asked runs nothing."""
+    """Return a function that makes two engines; the first send gets no answer."""
 
     async def async_make(**route):
         asked = []
@@ -30,7 +30,7 @@
 
 
 async def test_a_prompt_that_waits_unread_is_read_in_time_elsewhere(make_pair):
-    """It waited behind work that nobody told of, until its caller left."""
+    """A prompt queued behind unreported work until its caller disconnected."""
     site, asked = await make_pair()
     async with asyncio.timeout(site.state.table.routes[0].aim_seconds):
         answer = await site.async_ask_prompt(PROMPT)
@@ -40,7 +40,7 @@
 
 
 async def test_a_prompt_stays_where_no_other_would_be_in_time(make_pair):
-    """Its aim is over: a second read would only take another engine's time."""
+    """The aim has passed, so a second prefill would only waste engine time."""
     site, asked = await make_pair(aim_seconds=0.1)
     asking = asyncio.create_task(site.async_ask_prompt(PROMPT))
     await asyncio.sleep(c.OVERDUE_MARGIN_SECONDS + 0.4)
@@ -49,7 +49,7 @@
 
 
 async def test_no_prompt_is_left_beyond_the_budget_of_repeats(make_pair):
-    """A fleet that is slow as a whole must not read each prompt twice."""
+    """A fleet that is slow as a whole must not process each prompt twice."""
     site, asked = await make_pair()
     site.state.budget.bounds = RetryBudgetBounds(0.0, 0.0, 10.0)
     asking = asyncio.create_task(site.async_ask_prompt(PROMPT))
@@ -59,7 +59,7 @@
 
 
 async def test_no_other_engine_is_looked_for_among_thousands(make_pair, monkeypatch):
-    """A plan among all engines of a very large fleet holds its host up."""
+    """Planning among all engines of a very large fleet would stall the host."""
     monkeypatch.setattr(c, "MAX_CROSS_CELL_ENGINES", 1)
     site, asked = await make_pair()
     asking = asyncio.create_task(site.async_ask_prompt(PROMPT))
--- a/libraries/gateway/tests/test_paged_read.py
+++ b/libraries/gateway/tests/test_paged_read.py
@@ -1,4 +1,4 @@
-"""Check that a reading by pages goes on where it was, and what it then counts as."""
+"""Tests that a paged read resumes after failures and restarts when it is old."""
 
 from tarragonward_gateway import Page, Record
 from tarragonward_gateway import const as c
@@ -21,10 +21,10 @@
 
 
 def test_reading_goes_on_after_a_refused_call():
-    """A large fleet starts at once, and the source refuses most of its calls.
+    """A refused call must not restart the read from its first page.
 
-    A host that has read one page is refused the second, asks again, and must get
-    the second, not the first: else few hosts ever come to the last.
+    When a large fleet starts, the source refuses most calls, and few hosts would ever
+    reach the last page.
     """
     reading = PagedRead()
     reading.add_page(make_page("a", 5, "a"), 1.0)
@@ -32,10 +32,10 @@
 
 
 def test_reading_that_grew_old_is_begun_anew():
-    """The source's history ends before the watch would begin.
+    """Old pages must be discarded, as the source's history no longer covers them.
 
-    What changed after the first page could no longer be told, so pages of then are
-    worth nothing; nor are they after the source said that its history is gone.
+    A watch could not return the changes since the first page. The same holds after
+    the source has reported that its history is lost.
     """
     reading = PagedRead()
     reading.add_page(make_page("a", 5, "a"), 1.0)
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -1,4 +1,4 @@
-"""Check which targets are left out after failures, and that they come back."""
+"""Tests of ejecting targets after failures and of restoring them by probes."""
 
 import asyncio
 
@@ -21,8 +21,8 @@
 CLOSED = Address("127.0.0.1", 9)
 
 
-class Doubts:
-    """The decisions and the task of one host, and its targets."""
+class ProberFixture:
+    """The health tracker and the prober of one host, with its targets."""
 
     def __init__(self, addresses):
         settings = GatewaySettings(
@@ -43,120 +43,119 @@
 
 
 def test_unreached_target_is_left_out_and_the_others_stay():
-    doubts = Doubts([("a", CLOSED), ("a", CLOSED), ("b", CLOSED)])
-    doubts.probes.record_failure(doubts.targets[0], SendFault.NOT_CONNECTED)
-    assert doubts.select() == doubts.targets[1:]
+    host = ProberFixture([("a", CLOSED), ("a", CLOSED), ("b", CLOSED)])
+    host.probes.record_failure(host.targets[0], SendFault.NOT_CONNECTED)
+    assert host.select() == host.targets[1:]
 
 
 def test_two_unreached_targets_put_their_domain_in_doubt():
-    """Callers wait for one connection after the other while a domain is cut off.
+    """While a domain is cut off, callers must not wait for each of its targets.
 
-    Two targets of domain a are tried and cannot be reached; the third is left out
-    without being tried, as a cut reaches all of a domain.
+    Two targets of domain a cannot be reached, so the third is skipped without an
+    attempt, as a network partition affects the whole domain.
     """
-    doubts = Doubts([("a", CLOSED)] * 3 + [("b", CLOSED)])
-    doubts.probes.record_failure(doubts.targets[0], SendFault.NOT_CONNECTED)
-    doubts.probes.record_failure(doubts.targets[1], SendFault.NOT_CONNECTED)
-    assert doubts.select() == doubts.targets[3:]
+    host = ProberFixture([("a", CLOSED)] * 3 + [("b", CLOSED)])
+    host.probes.record_failure(host.targets[0], SendFault.NOT_CONNECTED)
+    host.probes.record_failure(host.targets[1], SendFault.NOT_CONNECTED)
+    assert host.select() == host.targets[3:]
 
 
 def test_answer_between_two_failures_clears_the_domain():
-    """Two targets that were taken away are no cut."""
-    doubts = Doubts([("a", CLOSED)] * 4)
-    doubts.probes.record_failure(doubts.targets[0], SendFault.NOT_CONNECTED)
-    doubts.probes.record(doubts.targets[2], Evidence.ANSWERED)
-    doubts.probes.record_failure(doubts.targets[1], SendFault.NOT_CONNECTED)
-    assert doubts.select() == doubts.targets[2:]
+    """Two removed targets must not be taken for a partition of their domain."""
+    host = ProberFixture([("a", CLOSED)] * 4)
+    host.probes.record_failure(host.targets[0], SendFault.NOT_CONNECTED)
+    host.probes.record(host.targets[2], Evidence.ANSWERED)
+    host.probes.record_failure(host.targets[1], SendFault.NOT_CONNECTED)
+    assert host.select() == host.targets[2:]
 
 
 def test_all_in_doubt_are_all_tried():
-    doubts = Doubts([("a", CLOSED), ("b", CLOSED)])
-    for target in doubts.targets:
-        doubts.probes.record_failure(target, SendFault.NOT_CONNECTED)
-    assert doubts.select() == doubts.targets
+    host = ProberFixture([("a", CLOSED), ("b", CLOSED)])
+    for target in host.targets:
+        host.probes.record_failure(target, SendFault.NOT_CONNECTED)
+    assert host.select() == host.targets
 
 
 def test_refusal_that_promises_not_run_is_no_doubt():
-    """A full target is well; a helper that its leader could not reach is not."""
+    """A full target is healthy; a helper that its leader could not reach is not."""
     other = Address("127.0.0.1", 10)
-    doubts = Doubts([("a", CLOSED), ("b", other)])
-    doubts.probes.record_failure(doubts.targets[0], SendFault.NOT_RUN)
-    assert doubts.select() == doubts.targets
-    doubts.probes.record_reported_fault(doubts.targets, str(other))
-    doubts.probes.record_reported_fault(doubts.targets, "unknown")
-    assert doubts.select() == doubts.targets[:1]
+    host = ProberFixture([("a", CLOSED), ("b", other)])
+    host.probes.record_failure(host.targets[0], SendFault.NOT_RUN)
+    assert host.select() == host.targets
+    host.probes.record_reported_fault(host.targets, str(other))
+    host.probes.record_reported_fault(host.targets, "unknown")
+    assert host.select() == host.targets[:1]
 
 
 async def test_target_comes_back_once_it_can_be_reached(monkeypatch):
-    """No request is spent on trying: a connection without one is enough."""
+    """A probe is a connection without a request, so no request is put at risk."""
     monkeypatch.setattr(c, "TARGET_PROBE_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(placement_const, "EJECTION_BASE_SECONDS", 0.02)
     server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    doubts = Doubts([("a", Address("127.0.0.1", port)), ("b", CLOSED)])
-    for target in doubts.targets:
-        doubts.probes.record_failure(target, SendFault.NOT_CONNECTED)
-    await doubts.probes.async_setup()
+    host = ProberFixture([("a", Address("127.0.0.1", port)), ("b", CLOSED)])
+    for target in host.targets:
+        host.probes.record_failure(target, SendFault.NOT_CONNECTED)
+    await host.probes.async_setup()
     try:
         async with asyncio.timeout(5):
-            while doubts.select() != doubts.targets[:1]:
+            while host.select() != host.targets[:1]:
                 await asyncio.sleep(0.01)
     finally:
-        await doubts.probes.async_unload()
+        await host.probes.async_unload()
         server.close()
         await server.wait_closed()
 
 
 async def test_a_fault_of_the_loop_keeps_no_target_out_for_good(monkeypatch):
-    """A round of probes raises what nobody foresaw; the loop must go on.
+    """An unexpected error in a round of probes must not end the loop.
 
-    Ended, it would connect to nothing any more, and a target that is well again would
-    stay out as long as others are there.
+    Without probes a recovered target would stay ejected as long as others are left.
     """
     monkeypatch.setattr(c, "TARGET_PROBE_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(background, "RESTART_SECONDS", 0.02)
-    doubts = Doubts([("a", CLOSED)])
+    host = ProberFixture([("a", CLOSED)])
     rounds = []
 
     def fail(registered, now):
         rounds.append(now)
         raise LookupError("not foreseen")
 
-    monkeypatch.setattr(doubts.target_health, "take_due_probes", fail)
-    await doubts.probes.async_setup()
+    monkeypatch.setattr(host.target_health, "take_due_probes", fail)
+    await host.probes.async_setup()
     async with asyncio.timeout(5):
         while len(rounds) < 3:
             await asyncio.sleep(0.01)
-    await doubts.probes.async_unload()
+    await host.probes.async_unload()
 
 
 async def test_dead_targets_that_are_probed_put_no_domain_in_doubt(monkeypatch):
-    """Two of a domain's three targets are dead, and this host has little to send.
+    """Failed probes of two dead targets must not eject their whole domain.
 
-    Their probes fail each round with no answer between them. Counted like sends, they
-    would leave the third one out, which is well, for as long as the two are registered.
+    A host with little traffic sees no answer between these probes. If they counted
+    like sends, the healthy third target would stay ejected while the two dead ones
+    are registered.
     """
     monkeypatch.setattr(c, "TARGET_PROBE_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(placement_const, "EJECTION_BASE_SECONDS", 0.01)
-    doubts = Doubts([("a", CLOSED)] * 3)
-    for target in doubts.targets[:2]:
-        doubts.probes.record_failure(target, SendFault.NOT_CONNECTED)
-        doubts.probes.record(doubts.targets[2], Evidence.ANSWERED)
-    await doubts.probes.async_setup()
+    host = ProberFixture([("a", CLOSED)] * 3)
+    for target in host.targets[:2]:
+        host.probes.record_failure(target, SendFault.NOT_CONNECTED)
+        host.probes.record(host.targets[2], Evidence.ANSWERED)
+    await host.probes.async_setup()
     try:
         await asyncio.sleep(0.3)
-        assert doubts.select() == doubts.targets[2:]
+        assert host.select() == host.targets[2:]
     finally:
-        await doubts.probes.async_unload()
+        await host.probes.async_unload()
 
 
 async def test_a_helper_that_a_refusal_names_by_its_address_is_left_out(make_site):
-    """A long prompt's leader can't reach a helper, and refuses: it has not run.
+    """A helper reported by its address must be ejected like one reported by its id.
 
-    The refusal names the helper by address. Looked up as an id it was found nowhere,
-    so the next prompt had the same helper, waited for the same stall and was refused.
-    The leader gets it once more without that helper, refuses again, and another one
-    answers.
+    The address was looked up as an id and not found, so the next prompt used the same
+    helper, stalled and was refused again. Here the leader receives the prompt once
+    more without that helper, refuses again, and another target answers.
     """
     site = await make_site(answer_with(), answer_with(), answer_with())
     leader, helper, other = site.state.registry.get_ready("s")
@@ -173,11 +172,11 @@
 
 
 async def test_a_prompt_whose_helpers_leave_returns_to_its_leader(make_site):
-    """The registry is silent, and two engines leave: they help nobody any more.
+    """Refusals on behalf of helpers must not use up the sends that a route allows.
 
-    Each refusal comes by the leader and names one of them. Were each a send of its
-    own, the two that the route allows would be used up, and the caller refused, while
-    the leader is free to read the prompt.
+    Two helpers have left while the registry is silent, and the leader's refusals
+    report one at a time. If each counted as a send, the caller would be refused while
+    the leader is free to process the prompt.
     """
     site = await make_site(answer_with(), answer_with(), answer_with())
     leader, *helpers = site.state.registry.get_ready("s")
@@ -197,7 +196,7 @@
 
 
 def help_leader(site, leader, helpers):
-    """Let a target have the helpers of these that are not in doubt."""
+    """Give a target those of the helpers that are not ejected."""
     choose = site.chooser.choose
 
     def choose_with_helpers(need):
@@ -216,10 +215,10 @@
     [answer_with(status="500 Failed"), answer_with(seal="X-None: 1"), async_reset],
 )
 async def test_a_target_that_fails_all_its_work_gets_little_of_it(make_site, script):
-    """A target answers its checks, and fails each request the moment it comes.
+    """A target that fails every request at once must be ejected after two in a row.
 
-    So it is the least busy one, and each request went there first: half of the sends
-    were spent on it for as long as it was sick. After two in a row it rests.
+    It passes its health checks and is always the least busy one, so every request was
+    sent there first and half of all sends failed.
     """
     site = await make_site(script, answer_with())
     for _ in range(6):
@@ -228,7 +227,7 @@
 
 
 class Plan:
-    """Stand for the plan of a prompt that needs no reservation."""
+    """A fake plan of a prompt that needs no reservation."""
 
     first_event_seconds = 0.1
     reserved_tokens = ()
--- a/libraries/gateway/tests/test_publications.py
+++ b/libraries/gateway/tests/test_publications.py
@@ -1,4 +1,4 @@
-"""What a host makes of records, from a scripted source and from its peers."""
+"""Tests of following a scripted source of records and of pulling from peers."""
 
 import asyncio
 import json
@@ -24,15 +24,15 @@
 from tarragonward_standins import FaultProxy
 
 FIRST, SECOND = "127.0.0.5", "127.0.0.6"
-# The largest item that the source takes, with routes that hardly repeat, the thinnest
-# link of an entry host, and how soon a table must be in force.
+# The largest item that the source accepts, the thinnest link of an entry host, and the
+# time within which a new table must be in force.
 LARGEST_ITEM_BYTES = 1024 * 1024
-THINNEST_LINK_BYTES_A_SECOND = 10_000_000 / 8
+THINNEST_LINK_BYTES_PER_SECOND = 10_000_000 / 8
 APPLY_SECONDS = 3.0
 
 
 class Parser:
-    """Read items of a form of its own."""
+    """Parses the items of these tests."""
 
     def get_target_name(self, key):
         return key.removeprefix("t/") if key.startswith("t/") else None
@@ -56,7 +56,7 @@
 
 
 class Source:
-    """Answer with what was set, or fail; an answer is on its way for so long."""
+    """A scripted source whose answers take transfer_seconds, or fail if is_down."""
 
     def __init__(self, items=None, transfer_seconds=0.0):
         self.transfer_seconds = transfer_seconds
@@ -159,10 +159,10 @@
 
 
 async def test_a_host_beside_a_dead_store_serves_by_what_a_peer_holds(start):
-    """A host restarts while the store is down for it; callers need it at once.
+    """A host that restarts while the source is down for it must serve at once.
 
-    It is given table and targets by a peer, later changes too, and does not call
-    fresh what no answer of the store stands behind.
+    A peer sends it the table, the targets and later changes, and how long ago the
+    source confirmed them.
     """
     source, dead = Source(get_items()), Source()
     dead.is_down = True
@@ -184,15 +184,15 @@
 
 
 async def test_a_watch_that_is_never_answered_is_given_up(start, monkeypatch):
-    """A request runs by a table that was replaced seconds ago.
+    """A watch that never returns must not leave an outdated table in force.
 
-    The store was silent to this host while its watch came, and never answers it; it
-    would answer a new call. No peer is there to show what is new.
+    The source was unreachable when the watch was sent and never answers it, but it
+    would answer a new call. There is no peer that shows the change.
     """
     monkeypatch.setattr(const, "MAX_CONFIRMED_AGE_SECONDS", 0.3)
     source = Source(get_items())
     state, _ = await start(FIRST, source)
-    # The page, then the watch, which waits from here on and is never woken.
+    # The first call is the page, the second the watch, which never returns.
     await async_wait_for(lambda: state.table is not None and source.calls == 2)
     source.items["table"] = Record("table", 8, b"9")
     source.revision = 8
@@ -201,10 +201,10 @@
 
 
 async def test_what_was_long_on_its_way_is_not_called_fresh(start, monkeypatch):
-    """A caller is told that a route is unknown, though it was published seconds ago.
+    """The transfer time of an answer must count towards its age.
 
-    A watch's answer says what the source held as it sent it, and a large one is on its
-    way for a while. What was published meanwhile is not in it.
+    A large answer lacks what was published during its transfer. If it counted as
+    fresh, a caller would be told that a newly published route is unknown.
     """
     monkeypatch.setattr(const, "MIN_WATCH_SECONDS", 0.2)
     monkeypatch.setattr(const, "WATCH_STAGGER_SECONDS", 0.2)
@@ -216,9 +216,9 @@
 
 
 async def test_a_table_that_cannot_be_read_is_counted_and_changes_nothing(start):
-    """A table is published in a form that this version does not know.
+    """A table in an unknown format must not replace the current one.
 
-    The host goes on by the one before; operators see that it refused the new one.
+    The host keeps the previous table and counts the refusal for operators.
     """
     state, task = await start(FIRST, Source(get_items()))
     await async_wait_for(lambda: state.table is not None)
@@ -243,10 +243,10 @@
 
 
 async def test_targets_that_lapse_together_are_used_a_moment_longer(start):
-    """The store was away; the records of all targets lapsed, and come back soon.
+    """After an outage of the source the records of all targets have expired.
 
-    Without them all requests were refused. One that is back is kept, one that is
-    not is gone once the drain time is nearly over.
+    If they were removed at once, all requests would be refused. A target whose record
+    returns is kept; the others are removed shortly before the drain time is over.
     """
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
@@ -259,10 +259,10 @@
 
 
 async def test_a_withdrawal_told_as_a_change_after_an_outage_is_in_time(start):
-    """A target leaves moments after the store is back; its withdrawal is heard late.
+    """A target that leaves just after an outage must not be used beyond its drain time.
 
-    It may have lapsed, and is used a moment longer, but so that what hearing takes,
-    up to a second, and that moment stay within the drain's time together.
+    Its record may have expired, so it is used for a while longer. A change can take up
+    to a second to arrive, and both together must stay within the drain time.
     """
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
@@ -283,19 +283,18 @@
 
 
 async def test_a_large_table_comes_over_a_thin_link_from_a_peer(start):
-    """A route was taken away seconds ago, and requests on it still run.
+    """Concurrent pulls of a large table on a thin link must not all time out.
 
-    The host hears at once that it is behind and asks the peer that holds the new table.
-    The table is on its way for most of a second. A second pull begins beside it, both
-    share the link, each is given up after a second with most of its answer received,
-    and begins anew: none ever ends.
+    One transfer takes most of a second. When another pull shares the link, both time
+    out after a second with most of the answer received, are repeated, and never
+    succeed. The host keeps an outdated table meanwhile.
     """
     first, second = Source(get_items()), Source()
     second.is_down = True
     holder, task = await start(FIRST, first)
     thin_port = find_free_port(socket.SOCK_STREAM)
     link = FaultProxy(Address(FIRST, thin_port), task._control.address)
-    link.faults.bytes_a_second = THINNEST_LINK_BYTES_A_SECOND
+    link.faults.bytes_a_second = THINNEST_LINK_BYTES_PER_SECOND
     async with AsyncExitStack() as stack:
         await link.async_setup()
         stack.push_async_callback(link.async_unload)
@@ -309,11 +308,11 @@
 async def test_a_reading_of_the_source_comes_to_its_end_beside_peers_that_are_ahead(
     start,
 ):
-    """A route was taken away seconds ago, and requests on it still run.
+    """Messages of peers that are ahead must not restart a read of the source.
 
-    The host's own link to the source is thin, and a peer with a better one says that it
-    is ahead, each 0.2 s. Each such word breaks the host's own reading off, which begins
-    anew and never ends, and the peer's records don't reach it.
+    The host's link to the source is thin, and a peer with a better one reports every
+    0.2 s that it is ahead. If each report restarted the read, it would never finish.
+    The records of the peer do not arrive either, so the host keeps an outdated table.
     """
     first, second = Source(get_items()), Source(get_items(), transfer_seconds=0.9)
     holder, _ = await start(FIRST, first)
--- a/libraries/gateway/tests/test_pulls.py
+++ b/libraries/gateway/tests/test_pulls.py
@@ -1,14 +1,14 @@
-"""How many peers are asked for records at once."""
+"""Tests of the limit of concurrent record pulls."""
 
 from tarragonward_gateway import const as c
 from tarragonward_gateway.pulls import PullLimit
 
 
 def test_pulls_do_not_pile_up_on_a_thin_link():
-    """A large table takes longer to come than the time between two asks.
+    """A transfer of a large table takes longer than the interval between pulls.
 
-    Each host that hears of it is told again and again that it is behind. Were each
-    word to begin a pull, all would share the link and none would end in time.
+    If every message of a peer that is ahead started a pull, all pulls would share the
+    link and none would finish in time.
     """
     limit = PullLimit()
     begun = [limit.begin(number * c.PEER_PULL_INTERVAL_SECONDS) for number in range(8)]
--- a/libraries/gateway/tests/test_readers.py
+++ b/libraries/gateway/tests/test_readers.py
@@ -1,4 +1,4 @@
-"""Who asks the source of publications, and who is fed."""
+"""Tests of which hosts poll the source of publications and which stand by."""
 
 import random
 
@@ -21,8 +21,8 @@
 from tarragonward_placement.const import MAX_SINGLE_CELL_HOSTS
 
 DOMAINS = ("a", "b", "c")
-FED = PollingOrder(18, 1, standby_rank=0, group=frozenset({"x"}))
-READER = PollingOrder(18, 1, group=frozenset({"x"}))
+STANDBY = PollingOrder(18, 1, standby_rank=0, group=frozenset({"x"}))
+POLLER = PollingOrder(18, 1, group=frozenset({"x"}))
 
 
 def build_hosts(count):
@@ -38,10 +38,10 @@
 
 
 @pytest.fixture
-def fed():
+def standby():
     follower = Follower(random.Random(1), 0.0)
     follower.handle(SourceAnswered(False), 10, 75, 1.0)
-    follower.choose_step(FED, 0.0, 1.0)
+    follower.choose_step(STANDBY, 0.0, 1.0)
     return follower
 
 
@@ -53,10 +53,10 @@
 
 def test_two_hosts_of_each_group_ask_in_turn():
     places = choose_all(build_hosts(75))
-    readers = [place for place in places.values() if place.standby_rank is None]
+    pollers = [place for place in places.values() if place.standby_rank is None]
     groups = {place.group for place in places.values()}
-    assert len(readers) == c.POLLERS_PER_GROUP * len(groups) == readers[0].poller_count
-    assert {place.rank for place in readers} == set(range(len(readers)))
+    assert len(pollers) == c.POLLERS_PER_GROUP * len(groups) == pollers[0].poller_count
+    assert {place.rank for place in pollers} == set(range(len(pollers)))
     assert all(name in place.group for name, place in places.items())
 
 
@@ -69,41 +69,43 @@
     assert len(again) == len(dead)
 
 
-def test_a_fed_host_asks_once_nobody_confirms_what_it_holds(fed):
-    """Both readers of a group die; work must not go to a target that then leaves.
+def test_a_fed_host_asks_once_nobody_confirms_what_it_holds(standby):
+    """A standby must poll when both pollers of its group have died.
 
-    What the host holds is confirmed by nobody from then on, and after a second its
-    own short watch shows what is new; its answer is what the others wait for.
+    Its data is no longer confirmed, and requests would go to targets that have left.
+    After a second its own short watch shows what is new, also to the other standbys.
     """
-    step = fed.choose_step(FED, 0.3, 2.0)
+    step = standby.choose_step(STANDBY, 0.3, 2.0)
     assert step == Pause(pytest.approx(c.STANDBY_POLL_AGE_SECONDS - 0.3))
-    assert fed.choose_step(FED, c.STANDBY_POLL_AGE_SECONDS, 3.0) == Watch(
+    assert standby.choose_step(STANDBY, c.STANDBY_POLL_AGE_SECONDS, 3.0) == Watch(
         c.STANDBY_WATCH_SECONDS
     )
-    behind = PollingOrder(18, 1, standby_rank=4, group=FED.group)
-    assert isinstance(fed.choose_step(behind, c.STANDBY_POLL_AGE_SECONDS, 3.0), Pause)
+    behind = PollingOrder(18, 1, standby_rank=4, group=STANDBY.group)
+    assert isinstance(
+        standby.choose_step(behind, c.STANDBY_POLL_AGE_SECONDS, 3.0), Pause
+    )
 
 
-def test_a_fed_host_that_is_behind_pulls_at_once_and_asks_no_source(fed):
+def test_a_fed_host_that_is_behind_pulls_at_once_and_asks_no_source(standby):
     told = PeerReported("mate", 11, 0.01)
-    assert fed.handle(told, 10, 75, 1.1) == [PullFromPeer("mate")]
-    assert fed.handle(told, 10, 75, 1.1 + c.BEHIND_GRACE_SECONDS) == [
+    assert standby.handle(told, 10, 75, 1.1) == [PullFromPeer("mate")]
+    assert standby.handle(told, 10, 75, 1.1 + c.BEHIND_GRACE_SECONDS) == [
         PullFromPeer("mate")
     ]
-    assert fed.handle(told, 11, 75, 2.0) == [MarkConfirmed(0.01)]
-    assert isinstance(fed.choose_step(FED, 0.01, 2.0), Pause)
+    assert standby.handle(told, 11, 75, 2.0) == [MarkConfirmed(0.01)]
+    assert isinstance(standby.choose_step(STANDBY, 0.01, 2.0), Pause)
 
 
-def test_failures_of_a_fed_host_end_when_it_is_fed_again(fed):
-    """Alone, it asked in vain; much later one more failure is no long outage."""
-    fed.choose_step(FED, 9.0, 2.0)
-    fed.handle(SourceFailed(), 10, 75, 2.0)
-    assert fed.choose_step(FED, 9.0, 2.9) == ReadAll()
-    assert isinstance(fed.choose_step(FED, 0.1, 3.0), Pause)
-    fed.choose_step(FED, 9.0, 50.0)
-    fed.handle(SourceFailed(), 10, 75, 50.0)
-    assert fed.failures == 1
-    assert not fed.is_after_outage(50.0)
+def test_failures_of_a_fed_host_end_when_it_is_fed_again(standby):
+    """Old failures of a standby must not make a later single one a long outage."""
+    standby.choose_step(STANDBY, 9.0, 2.0)
+    standby.handle(SourceFailed(), 10, 75, 2.0)
+    assert standby.choose_step(STANDBY, 9.0, 2.9) == ReadAll()
+    assert isinstance(standby.choose_step(STANDBY, 0.1, 3.0), Pause)
+    standby.choose_step(STANDBY, 9.0, 50.0)
+    standby.handle(SourceFailed(), 10, 75, 50.0)
+    assert standby.failures == 1
+    assert not standby.is_after_outage(50.0)
 
 
 def test_readers_watches_that_a_change_woke_end_one_after_the_other():
@@ -111,7 +113,7 @@
     follower.handle(SourceAnswered(True), 10, 75, 1.0)
     waits = [
         follower.choose_step(
-            PollingOrder(18, rank, group=READER.group), 0.0, 2.0
+            PollingOrder(18, rank, group=POLLER.group), 0.0, 2.0
         ).seconds
         for rank in range(18)
     ]
--- a/libraries/gateway/tests/test_record_exchange.py
+++ b/libraries/gateway/tests/test_record_exchange.py
@@ -1,4 +1,4 @@
-"""The records that hosts give each other, as they go over a thin link."""
+"""Tests of serving records to peers and pulling them."""
 
 import json
 import random
@@ -30,7 +30,7 @@
 
 
 @pytest.fixture
-async def giver():
+async def serving_peer():
     settings = GatewaySettings("h", "d", *[ADDRESS] * 4, (), ADDRESS, Bounds())
     record_store = RecordStore()
     routes = RecordHandler(GatewayState(settings, HeaderNames(), Paths()), record_store)
@@ -40,13 +40,12 @@
     await server.async_unload()
 
 
-async def test_a_large_table_reaches_a_peer_in_few_bytes(giver):
-    """A host on a thin link lacks a table of many routes and asks a peer for it.
+async def test_a_large_table_reaches_a_peer_in_few_bytes(serving_peer):
+    """An uncompressed large table would not arrive before the pull times out.
 
-    Uncompressed it does not come before the host gives the peer up, and the host
-    works by the table before it for as long as that lasts.
+    A host on a thin link would keep its outdated table.
     """
-    record_store, routes, address = giver
+    record_store, routes, address = serving_peer
     table = Record("table", 7, build_table())
     record_store.apply(RecordBatch((table,), 7, True), 0)
     given = await async_pull_records(address, 0)
--- a/libraries/gateway/tests/test_record_store.py
+++ b/libraries/gateway/tests/test_record_store.py
@@ -1,4 +1,4 @@
-"""Records from the source and from peers, in any order, and never back."""
+"""Tests that records from any sender and in any order never go back."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class Source:
-    """Items under one growing revision; its history may be dropped."""
+    """A source with one growing revision, whose history may be dropped."""
 
     def __init__(self, rng):
         self._random = rng
@@ -40,7 +40,7 @@
         return RecordBatch(tuple(self.items.values()), self.revision, True)
 
     def read_pages(self):
-        """Two pages with changes between them: no snapshot."""
+        """Return two pages with changes between them, so not a snapshot."""
         first, revision = self.read_all(), self.revision
         half = sorted(first.records, key=lambda r: r.key)[:6]
         last = half[-1].key if half else ""
@@ -66,10 +66,10 @@
 
 @pytest.mark.parametrize("seed", range(200))
 def test_books_agree_with_the_source_after_any_order(seed, monkeypatch):
-    """Hosts hear of changes late, twice, from each other and from pages.
+    """Hosts receive changes late, twice, from each other and from pages.
 
-    No revision of an item falls on any host, a book that is complete up to a
-    revision holds just what stood there, and all agree in the end.
+    The revision of an item never decreases on any host, and in the end each store
+    contains exactly the items of the source.
     """
     monkeypatch.setattr(const, "MAX_WITHDRAWN_RECORDS", 4)
     rng = random.Random(seed)
@@ -111,7 +111,7 @@
 
 
 def test_a_peer_that_was_away_long_is_given_all(monkeypatch):
-    """A withdrawal that nobody remembers is seen only by what a whole book lacks."""
+    """A forgotten withdrawal shows only by the item's absence from a snapshot."""
     monkeypatch.setattr(const, "MAX_WITHDRAWN_RECORDS", 1)
     record_store, away = RecordStore(), RecordStore()
     first = tuple(Record(f"k{n}", n + 1, b"x") for n in range(3))
@@ -126,9 +126,9 @@
 
 
 def test_a_withdrawal_heard_ahead_of_its_turn_holds():
-    """A peer tells of a withdrawal before all changes up to it are known here.
+    """A withdrawal from one peer arrives before an older record from another peer.
 
-    A record of before it, from another peer, comes later and must change nothing.
+    The older record must not bring the item back.
     """
     record_store = RecordStore()
     record_store.apply(RecordBatch((), 3, True), 0)
@@ -139,10 +139,10 @@
 
 
 def test_a_peer_of_one_that_read_all_learns_that_it_lacks_a_withdrawal():
-    """A target goes; a host that starts then reads all without ever seeing it.
+    """A host that starts after a withdrawal reads a snapshot without the target.
 
-    A peer that still holds the target compared the greatest revisions held, which
-    were the same, and took the other's confirmed word for its own.
+    A peer that still has the target compared the greatest revisions of the records,
+    which were equal, and took its own data for confirmed.
     """
     held, started = RecordStore(), RecordStore()
     held.apply(RecordBatch((Record("t/a", 1, b""), Record("t/b", 2, b"")), 2, True), 0)
--- a/libraries/gateway/tests/test_reservations.py
+++ b/libraries/gateway/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Check that a prompt's memory is held whole or not at all, and freed on every path."""
+"""Tests that a prompt's memory is reserved completely or not at all, and released."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FakeTargets:
-    """Targets that hold reservations by (target, id), and may refuse or go silent."""
+    """Targets with reservations by (target, id), which may refuse or not answer."""
 
     def __init__(self) -> None:
         self.held: dict[tuple[str, str], int] = {}
@@ -40,7 +40,7 @@
     async def async_reserve(
         self, reservation: Reservation, timeout: float
     ) -> ReservationAnswer:
-        """Hold a part."""
+        """Reserve a part."""
         target = reservation.target.id
         self.calls.append(("reserve", target))
         self.hold_seconds.append(reservation.hold_seconds)
@@ -55,7 +55,7 @@
         return ReservationAnswer(True, self.incarnations.get(target))
 
     async def async_release(self, reservation: Reservation, timeout: float) -> bool:
-        """Free a part."""
+        """Release a part."""
         self.calls.append(("release", reservation.target.id))
         if self.lost_releases:
             self.lost_releases -= 1
@@ -65,7 +65,7 @@
 
 
 def build_task(targets: FakeTargets, free_seconds: float = 4.0) -> ReservationTask:
-    """Return the task of a host that is bound by free_seconds."""
+    """Return the task of a host with the given setting of free_seconds."""
     settings = GatewaySettings(
         name="host-1",
         failure_domain="a",
@@ -81,7 +81,7 @@
 
 
 def build_choice() -> SendChoice:
-    """Return a send whose prompt lies on two helpers and the leader."""
+    """Return a send whose prompt needs memory on two helpers and the leader."""
     leader, *helpers = (
         RegisteredTarget(name, "llm", ADDRESS, "a", 8, True, 1)
         for name in ("t0", "t1", "t2")
@@ -98,14 +98,14 @@
 
 
 async def async_wait_until(holds: Callable[[], bool]) -> None:
-    """Return as soon as the condition holds."""
+    """Wait until the condition holds."""
     async with asyncio.timeout(5):
         while not holds():
             await asyncio.sleep(0.001)
 
 
 async def test_all_parts_are_held_and_then_freed() -> None:
-    """The helpers are told the ticket by which they hold their part."""
+    """The helpers header contains the ticket of each helper's reservation."""
     targets = FakeTargets()
     choice = build_choice()
     lease = await build_task(targets).async_reserve(choice)
@@ -120,10 +120,10 @@
 
 
 async def test_refused_part_frees_the_others() -> None:
-    """Half a group held by each of two hosts would wait for ever.
+    """Two hosts that each held half a group would wait for each other forever.
 
-    The second target refuses after the first has granted; the first part is freed, and
-    the caller learns who refused, so that the next group is without it.
+    The second target refuses after the first has granted. The first part is released,
+    and the target that refused is returned, so that the next group can exclude it.
     """
     targets = FakeTargets()
     targets.refusing = {"t2"}
@@ -133,7 +133,7 @@
 
 
 async def test_part_whose_answer_was_lost_is_freed_too() -> None:
-    """The target may hold it: memory would stay set aside with no request using it."""
+    """The target may have reserved the memory, which would then leak."""
     targets = FakeTargets()
     targets.silent_after_holding = {"t2"}
     targets.lost_releases = 1
@@ -142,7 +142,7 @@
 
 
 async def test_caller_that_leaves_while_reserving_frees_all() -> None:
-    """The request's task is cancelled between two grants; its memory is not lost."""
+    """Memory must not leak if the request is cancelled between two grants."""
     targets = FakeTargets()
     targets.hanging = {"t2"}
     task = asyncio.create_task(build_task(targets).async_reserve(build_choice()))
@@ -153,7 +153,7 @@
 
 
 async def test_held_parts_are_renewed_until_released() -> None:
-    """A hold is short, as a dead host's memory must be free again soon."""
+    """Reservations expire soon, to free a dead host's memory, so they are renewed."""
     targets = FakeTargets()
     lease = await build_task(targets, 0.02).async_reserve(build_choice())
     assert isinstance(lease, Lease)
@@ -166,7 +166,7 @@
 
 
 async def test_no_two_sends_share_a_ticket() -> None:
-    """Two requests that use one ticket at the same time break each other."""
+    """Two concurrent requests with the same ticket would break each other."""
     targets = FakeTargets()
     first, second = build_task(targets), build_task(targets)
     choices = [build_choice() for _ in range(4)]
@@ -178,7 +178,7 @@
 
 
 async def test_renewing_goes_on_after_a_renewal_that_was_lost() -> None:
-    """A hold that lapses cuts its request off; one lost answer must not let it."""
+    """A reservation must not expire because one renewal is lost."""
     targets = FakeTargets()
     lease = await build_task(targets, 0.02).async_reserve(build_choice())
     assert isinstance(lease, Lease)
@@ -188,7 +188,7 @@
 
 
 async def test_a_hold_is_short_enough_to_end_with_a_dead_host() -> None:
-    """A killed host renews and releases nothing; its memory must be free in time."""
+    """A killed host releases nothing, so its reservations must expire in time."""
     targets = FakeTargets()
     lease = await build_task(targets, free_seconds=4.0).async_reserve(build_choice())
     assert isinstance(lease, Lease)
@@ -197,11 +197,12 @@
 
 
 async def test_a_renewal_at_a_later_boot_is_taken_back():
-    """An engine crashes and starts again under its id, before the registry tells so.
+    """A renewal must not leak memory on an engine that has restarted.
 
-    The host renews the reservation that the earlier boot held, so the later one sets
-    memory aside for a request that it does not have. It answers as another boot, and
-    is released at once; once the registry tells of the boot, nothing is renewed.
+    The engine restarts under its id before the registry shows it, so the renewal
+    reserves memory for a request that the new incarnation does not have. Its answer
+    has another incarnation, and the reservation is released at once. After the
+    registry shows the restart, nothing is renewed.
     """
     targets = FakeTargets()
     choice = build_choice()
