--- a/libraries/placement/tarragonward_placement/limits.py
+++ b/libraries/placement/tarragonward_placement/limits.py
@@ -21,16 +21,16 @@
     divided among the others by weight. Units are those of capacity and demand.
     """
     shares: dict[str, float] = {}
-    left = capacity
+    remaining = capacity
     by_relative_demand = sorted(
         demand, key=lambda name: demand[name] / weights.get(name, 1.0)
     )
-    weight_left = sum(weights.get(name, 1.0) for name in by_relative_demand)
+    remaining_weight = sum(weights.get(name, 1.0) for name in by_relative_demand)
     for name in by_relative_demand:
         weight = weights.get(name, 1.0)
-        shares[name] = min(demand[name], left * weight / weight_left)
-        left -= shares[name]
-        weight_left -= weight
+        shares[name] = min(demand[name], remaining * weight / remaining_weight)
+        remaining -= shares[name]
+        remaining_weight -= weight
     return shares
 
 
--- a/libraries/placement/tarragonward_placement/lanes.py
+++ b/libraries/placement/tarragonward_placement/long_pool.py
@@ -42,8 +42,8 @@
     the start has capacity.
     """
     ordered = sorted(views, key=get_pool_order)
-    most = max(math.floor(len(views) * share), min_engines)
-    return ordered[:most]
+    max_engines = max(math.floor(len(views) * share), min_engines)
+    return ordered[:max_engines]
 
 
 def get_pool_order(view: EngineView) -> tuple[int, str]:
@@ -71,9 +71,9 @@
     def can_take(self, view: EngineView, live_hosts: int, now: float) -> bool:
         """Return whether a short prompt may be sent to this engine."""
         rate = view.prefill_tokens_per_second * c.SHORT_PROMPT_RATE_SHARE / live_hosts
-        most = rate * c.SHORT_PROMPT_BURST_SECONDS
-        bucket = self._buckets.setdefault(view.name, _Bucket(most, now))
-        bucket.level = min(most, bucket.level + rate * (now - bucket.filled_at))
+        burst_tokens = rate * c.SHORT_PROMPT_BURST_SECONDS
+        bucket = self._buckets.setdefault(view.name, _Bucket(burst_tokens, now))
+        bucket.level = min(burst_tokens, bucket.level + rate * (now - bucket.filled_at))
         bucket.filled_at = now
         return bucket.level > 0
 
--- a/libraries/placement/tarragonward_placement/placement.py
+++ b/libraries/placement/tarragonward_placement/placement.py
@@ -13,14 +13,14 @@
 from .admission import check_memory, check_time, refuse
 from .affinity import PrefixIndex
 from .groups import GroupMember, plan_group
-from .lanes import (
+from .limits import AccountLimits
+from .long_pool import (
     ShortPromptBudget,
     classify_prompt,
     get_long_pool,
     get_pool_order,
     has_long_prefill,
 )
-from .limits import AccountLimits
 from .messages import (
     EngineView,
     FleetView,
@@ -175,12 +175,12 @@
     def _compute_short_capacity(self, context: _Context) -> float:
         """Return the tokens per second that are available to short prompts."""
         total = sum(view.prefill_tokens_per_second for view in context.views)
-        shared_rate = sum(
+        long_prefill_rate = sum(
             view.prefill_tokens_per_second
             for view in context.views
             if has_long_prefill(view)
         )
-        return total - shared_rate * (1 - c.SHORT_PROMPT_RATE_SHARE)
+        return total - long_prefill_rate * (1 - c.SHORT_PROMPT_RATE_SHARE)
 
     def _choose(self, context: _Context) -> _Choice | None:
         request = context.request
@@ -273,10 +273,10 @@
         is_long = context.request.is_long and self._policy.uses_long_pool
         if is_long or not self._policy.uses_sampling:
             return list(views)
-        idle = [view for view in views if not has_long_prefill(view)]
-        busy = [view for view in views if has_long_prefill(view)]
-        sampled = self._draw(idle, c.SAMPLED_CANDIDATES)
-        return sampled + self._draw(busy, c.SAMPLED_LONG_PREFILL)
+        without_long_prefill = [view for view in views if not has_long_prefill(view)]
+        with_long_prefill = [view for view in views if has_long_prefill(view)]
+        sampled = self._draw(without_long_prefill, c.SAMPLED_CANDIDATES)
+        return sampled + self._draw(with_long_prefill, c.SAMPLED_LONG_PREFILL)
 
     def _draw(self, views: list[EngineView], count: int) -> list[EngineView]:
         return self._random.sample(views, min(count, len(views)))
--- a/libraries/placement/tarragonward_placement/predictions.py
+++ b/libraries/placement/tarragonward_placement/predictions.py
@@ -87,7 +87,7 @@
         reported = view.queued_prefill_tokens
         if priority < c.FIRST_LONG_PRIORITY:
             reported -= view.queued_long_tokens
-        read = view.report_age_seconds * view.prefill_tokens_per_second
+        prefilled_tokens = view.report_age_seconds * view.prefill_tokens_per_second
         own = sum(
             work.uncached_tokens
             for work in self._iterate_unreported(view, now)
@@ -95,7 +95,7 @@
             and not work.has_first_token
             and work.engine_priority <= priority
         )
-        return max(0.0, reported - read) + own
+        return max(0.0, reported - prefilled_tokens) + own
 
     def has_lower_priority_work(
         self, view: EngineView, priority: int, now: float
--- a/libraries/placement/tarragonward_placement/reach.py
+++ b/libraries/placement/tarragonward_placement/reach.py
@@ -128,10 +128,10 @@
     balancing would prefer them: every request would wait for a connection that never
     comes, or use up its sends, while other targets have capacity.
 
-    A target is ejected after one failed connection, one refusal because it has
-    restarted, or one timeout; after other faults only if there are several in a row. If
-    two targets of a failure domain cannot be connected to, and none answers in between,
-    the whole domain is ejected.
+    A target is ejected after one failed connection, one refusal because another
+    incarnation has its address, or one timeout; after faults that the request may have
+    caused only if there are several in a row. If two targets of a failure domain cannot
+    be connected to, and none answers in between, the whole domain is ejected.
 
     Ejected targets are restored by a connection without a request, so that no caller
     has to take the risk. A target that answers with errors, or as another incarnation,
@@ -149,7 +149,7 @@
 
     @property
     def ejected_count(self) -> int:
-        """Return the number of ejected targets, without those of ejected domains."""
+        """Return the number of targets that are ejected themselves."""
         return sum(record.retry_at is not None for record in self._targets.values())
 
     @property
@@ -328,6 +328,6 @@
         return int(target.failure_domain in self._domains)
 
 
-def _retain_keys(record: dict[str, Any], names: Collection[str]) -> None:
-    for name in record.keys() - names:
-        del record[name]
+def _retain_keys(mapping: dict[str, Any], names: Collection[str]) -> None:
+    for name in mapping.keys() - names:
+        del mapping[name]
--- a/libraries/placement/tarragonward_placement/readings.py
+++ b/libraries/placement/tarragonward_placement/readings.py
@@ -278,8 +278,8 @@
         left -= tokens
     if left > 0:
         return None
-    rest = need.memory_tokens - sum(reserved_tokens.values())
-    lead_cost = _compute_lead_cost(leader, need, model, rest)
+    leader_tokens = need.memory_tokens - sum(reserved_tokens.values())
+    lead_cost = _compute_lead_cost(leader, need, model, leader_tokens)
     # Reservations are filled in the order in which they are listed.
     held = [candidate for candidate in holders if candidate.name in reserved_tokens]
     without_memory = [
--- a/libraries/placement/tests/test_cells.py
+++ b/libraries/placement/tests/test_cells.py
@@ -50,8 +50,8 @@
     hosts = [LocatedMember(f"10.0.{n}.1:7000", domains[n % 5]) for n in range(195)]
     engines = [LocatedMember(f"e{n}", domains[n % 5]) for n in range(172)]
     for host in hosts:
-        near = {e.name for e in engines if e.failure_domain == host.failure_domain}
-        assert choose_cell(host, hosts, engines).engines == near
+        local = {e.name for e in engines if e.failure_domain == host.failure_domain}
+        assert choose_cell(host, hosts, engines).engines == local
 
 
 def test_cell_membership_is_symmetric():
@@ -79,13 +79,13 @@
 def test_a_lost_member_moves_only_hosts_at_cell_boundaries():
     """A host dies; others learn of it at different times and still share engines."""
     hosts, engines = build_hosts(75), build_engines(69)
-    near = [host for host in hosts if host.failure_domain == "a" and host != hosts[9]]
+    local = [host for host in hosts if host.failure_domain == "a" and host != hosts[9]]
     fewer = [host for host in hosts if host != hosts[9]]
     moved = [
         host
-        for host in near
+        for host in local
         if choose_cell(host, hosts, engines).engines
         != choose_cell(host, fewer, engines).engines
     ]
-    cells = {choose_cell(host, hosts, engines).engines for host in near}
+    cells = {choose_cell(host, hosts, engines).engines for host in local}
     assert len(moved) < len(cells)
--- a/libraries/placement/tests/test_outlook.py
+++ b/libraries/placement/tests/test_outlook.py
@@ -25,14 +25,16 @@
 PREFILLING = EngineUsage(prefill_seconds=2.0)
 
 
-def forecast(busy=(), reading=(), seconds=2.0):
-    known = {name: DECODING for name in busy} | {name: PREFILLING for name in reading}
+def forecast(busy=(), prefilling=(), seconds=2.0):
+    known = {name: DECODING for name in busy} | {
+        name: PREFILLING for name in prefilling
+    }
     return forecast_short_prompts(ENGINES, known, MODEL, seconds)
 
 
 def test_a_prefill_costs_nothing_while_other_engines_have_slots():
-    outlook = forecast(busy=ENGINES[:3])
-    assert outlook.compute_loss(ENGINES[3:], 2.0) == 0.0
+    costs = forecast(busy=ENGINES[:3])
+    assert costs.compute_loss(ENGINES[3:], 2.0) == 0.0
 
 
 def test_a_prefill_that_leaves_one_engine_makes_most_arrivals_late():
@@ -41,23 +43,23 @@
     The last engine has seven slots. More than half of the short prompts that arrive
     within two seconds would wait for the end of the prefill and be late.
     """
-    outlook = forecast(busy=ENGINES[:3])
-    loss = outlook.compute_loss(ENGINES[1:], 2.0)
-    arriving = outlook.weight_per_second * 2.0
+    costs = forecast(busy=ENGINES[:3])
+    loss = costs.compute_loss(ENGINES[1:], 2.0)
+    arriving = costs.weight_per_second * 2.0
     assert arriving / 2 < loss < arriving
 
 
 def test_an_existing_lack_of_slots_is_not_charged_to_the_prefill():
-    outlook = forecast(busy=ENGINES[:3], reading=ENGINES[1:])
-    assert outlook.compute_loss(ENGINES[1:], 2.0) == 0.0
+    costs = forecast(busy=ENGINES[:3], prefilling=ENGINES[1:])
+    assert costs.compute_loss(ENGINES[1:], 2.0) == 0.0
 
 
 def test_more_engines_and_longer_prefills_cost_more():
-    outlook = forecast(busy=ENGINES[:4])
-    losses = [outlook.compute_loss(ENGINES[:count], 2.0) for count in (6, 8, 10)]
+    costs = forecast(busy=ENGINES[:4])
+    losses = [costs.compute_loss(ENGINES[:count], 2.0) for count in (6, 8, 10)]
     assert losses == sorted(losses)
     assert losses[-1] > losses[0]
-    assert outlook.compute_loss(ENGINES, 4.0) == pytest.approx(2 * losses[-1])
+    assert costs.compute_loss(ENGINES, 4.0) == pytest.approx(2 * losses[-1])
 
 
 def test_requests_that_tolerate_the_pause_cost_nothing():
@@ -67,7 +69,7 @@
 
 def test_an_unpublished_usual_answer_length_is_accepted():
     known = {"e0": DECODING}
-    outlook = forecast_short_prompts(
+    costs = forecast_short_prompts(
         ENGINES, known, replace(MODEL, usual_answer_tokens=0), 2
     )
-    assert outlook.weight_per_second > 0
+    assert costs.weight_per_second > 0
--- a/libraries/placement/tests/test_paces.py
+++ b/libraries/placement/tests/test_paces.py
@@ -68,10 +68,10 @@
     assert {work.slowdown for work in tracker.get_usage(1.1).values()} == {3.0}
 
 
-@pytest.mark.parametrize("told", [-5, 0, 10**9])
-def test_an_impossible_slowdown_is_clamped(told):
+@pytest.mark.parametrize("slowdown", [-5, 0, 10**9])
+def test_an_impossible_slowdown_is_clamped(slowdown):
     tracker = FleetUsageTracker()
-    entry = [0, 0, 0, 0, 0, 0, [], [], told]
+    entry = [0, 0, 0, 0, 0, 0, [], [], slowdown]
     for peer in ("one", "other"):
         tracker.apply_digest(peer, {"e1": entry}, 0.0, 1.0)
     assert 1.0 <= tracker.get_usage(1.0)["e1"].slowdown <= c.MAX_SLOWDOWN
--- a/libraries/placement/tests/test_placement.py
+++ b/libraries/placement/tests/test_placement.py
@@ -16,7 +16,7 @@
     Refused,
 )
 from tarragonward_placement.affinity import PrefixIndex, hash_blocks
-from tarragonward_placement.lanes import ShortPromptBudget
+from tarragonward_placement.long_pool import ShortPromptBudget
 
 KV_TOKENS = 400_000
 RATE = 20_000.0
--- a/libraries/placement/tests/test_readings.py
+++ b/libraries/placement/tests/test_readings.py
@@ -80,9 +80,9 @@
 def test_long_prompt_avoids_requests_that_tolerate_no_pause() -> None:
     """One long prefill delays the next event of a decoding request by seconds."""
     known = {name: build_engine_with_short_prompts(4) for name in ENGINES[:4]}
-    readers = plan(LONG, known).prefill_engines
-    assert len(readers) > 1
-    assert not set(readers) & set(known)
+    engines = plan(LONG, known).prefill_engines
+    assert len(engines) > 1
+    assert not set(engines) & set(known)
 
 
 def test_parallel_prefill_meets_the_aim() -> None:
