--- a/libraries/gateway/tarragonward_gateway/following.py
+++ b/libraries/gateway/tarragonward_gateway/following.py
@@ -88,7 +88,7 @@
     """
 
     name: str
-    changed_revision: int
+    latest_revision: int
     confirmed_age: float
 
 
@@ -169,7 +169,7 @@
         self._pause_until = now + min(start_wait, c.SEED_ANSWER_SECONDS)
         self._changed_at = float("-inf")
         self._behind_since: float | None = None
-        self._newest_reported = 0
+        self._latest_reported_revision = 0
         self._pulled_at = float("-inf")
         # Peers whose last report was newer than this host's data, oldest first.
         self._peers_ahead: dict[str, None] = {}
@@ -341,16 +341,18 @@
             # loss hosts would otherwise wait for seeds that start later than they do.
             start_until = self._started_at + self._start_wait
             self._pause_until = max(self._pause_until, start_until)
-        if self._newest_reported <= complete_revision:
+        if self._latest_reported_revision <= complete_revision:
             # Only this host's own revision shows that it has caught up; reports of
             # peers with older data do not.
             self._behind_since = None
         self._peers_ahead.pop(report.name, None)
-        if report.changed_revision <= complete_revision:
+        if report.latest_revision <= complete_revision:
             effects.append(MarkConfirmed(report.confirmed_age))
         else:
             self._add_peer_ahead(report.name)
-            self._newest_reported = max(self._newest_reported, report.changed_revision)
+            self._latest_reported_revision = max(
+                self._latest_reported_revision, report.latest_revision
+            )
             effects += self._catch_up(report.name, complete_revision, now)
         if self._shows_recovery(report, now):
             self._has_tried_recovery = True
@@ -397,7 +399,7 @@
         report instead, most of a large fleet would have no table, or the previous one,
         for another second.
         """
-        if self._newest_reported <= complete_revision:
+        if self._latest_reported_revision <= complete_revision:
             return []
         others = [peer for peer in self._peers_ahead if peer != name]
         self._pulled_at = now
--- a/libraries/gateway/tarragonward_gateway/heads.py
+++ b/libraries/gateway/tarragonward_gateway/heads.py
@@ -33,9 +33,9 @@
         # already use its address. An idle target is chosen first, so it would refuse
         # every request and use up their attempts. It is ejected like a target that
         # accepts no connection. If a helper is at fault instead, the answer names it.
-        at_fault = stream.headers.get(self._names.failed_target)
-        is_own = at_fault is None or at_fault == str(target.address)
-        return stream.status == STATUS_MISDIRECTED and is_own
+        failed_address = stream.headers.get(self._names.failed_target)
+        is_own_fault = failed_address is None or failed_address == str(target.address)
+        return stream.status == STATUS_MISDIRECTED and is_own_fault
 
     def is_refusal(self, stream: HttpStream) -> bool:
         """Return whether the target states that it has not run the request."""
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -381,16 +381,18 @@
         if limit is not None or not is_refusal:
             self._chooser.record_limit(choice.target, limit)
         if is_refusal:
-            at_fault = stream.headers.get(names.failed_target)
-            is_helpers_fault = at_fault is not None and (
-                self._chooser.probes.record_reported_fault(choice.helpers, at_fault)
+            failed_address = stream.headers.get(names.failed_target)
+            is_helper_fault = failed_address is not None and (
+                self._chooser.probes.record_reported_fault(
+                    choice.helpers, failed_address
+                )
             )
             self._observer.record_failure(
                 "send_refused",
                 status=stream.status,
-                at_target=at_fault,
+                at_target=failed_address,
             )
-            return SendFailed(SendFault.NOT_RUN, is_helper_fault=is_helpers_fault)
+            return SendFailed(SendFault.NOT_RUN, is_helper_fault=is_helper_fault)
         self._head_check.check(stream)
         is_stream = stream.headers.get(CONTENT_TYPE, "").startswith(EVENT_STREAM)
         if is_stream and stream.status == STATUS_OK:
