--- a/libraries/gateway/tarragonward_gateway/suspects.py
+++ b/libraries/gateway/tarragonward_gateway/suspects.py
@@ -119,7 +119,7 @@
         """Clear a suspect at all hosts, as an operator asks; return if it existed."""
         has_cleared = self.tracker.clear(fingerprint, read_clock())
         if has_cleared:
-            log_event("suspect_cleared", fingerprint=fingerprint.hex())
+            log_event("suspect_lifted", fingerprint=fingerprint.hex())
             self._notify(fingerprint)
         return has_cleared
 
--- a/libraries/gateway/tests/test_cell_gossip.py
+++ b/libraries/gateway/tests/test_cell_gossip.py
@@ -55,7 +55,7 @@
     return work
 
 
-def test_a_long_reading_is_told_at_once_to_hosts_of_other_cells(told):
+def test_long_prefill_is_sent_at_once_to_hosts_of_other_cells(told):
     """Without the message, hosts of other cells would choose the same engines."""
     chooser, _, messages = told
     begin(chooser, placement_const.IMMEDIATE_NOTICE_SECONDS)
@@ -64,7 +64,7 @@
     assert messages == [(PROMPTS_SECTION, [FAR])]
 
 
-def test_a_reading_that_goes_on_is_told_again(told, monkeypatch):
+def test_continuing_prefill_is_sent_again(told, monkeypatch):
     """Hints expire sooner than the longest prefills end."""
     chooser, gossip, messages = told
     work = begin(chooser, 6.0)
@@ -81,7 +81,7 @@
     assert len(messages) == 2
 
 
-async def test_hosts_of_other_cells_hear_of_the_engines_in_turn(told, monkeypatch):
+async def test_engine_summaries_are_sent_to_hosts_of_other_cells(told, monkeypatch):
     monkeypatch.setattr(cell_gossip.c, "CELL_GOSSIP_INTERVAL_SECONDS", 0.01)
     _, gossip, messages = told
     await gossip.async_setup()
@@ -93,7 +93,7 @@
     assert messages[0] == (SECTION, [FAR])
 
 
-def test_what_other_cells_are_told_of_readings_is_bounded(told, monkeypatch):
+def test_gossip_about_prefills_to_other_cells_is_bounded(told, monkeypatch):
     """With hundreds of hosts, a message to all per long prompt overloaded each host."""
     chooser, _, messages = told
     rate = cell_gossip.c.MAX_PREFILL_GOSSIP_BYTES_PER_SECOND
@@ -107,7 +107,7 @@
     assert rate * seconds / 2 < sent <= rate * (seconds + 1) + SIZE
 
 
-def test_a_very_large_fleet_tells_nothing_beyond_its_cells(told, monkeypatch):
+def test_very_large_fleet_sends_nothing_beyond_its_cells(told, monkeypatch):
     """No host plans across cells among thousands of engines, so gossip has no use."""
     chooser, gossip, messages = told
     assert gossip._list_remote_hosts() == [FAR]
--- a/libraries/gateway/tests/test_crashes.py
+++ b/libraries/gateway/tests/test_crashes.py
@@ -39,7 +39,7 @@
     return site
 
 
-async def test_a_request_that_crashed_three_targets_is_sent_to_no_more(make_site):
+async def test_request_that_crashed_three_targets_is_refused(make_site):
     """A caller repeats a request that crashes targets: ten repeats crashed twenty."""
     site = await make_crashing_site(make_site, 8)
     for _ in range(6):
@@ -48,7 +48,7 @@
     assert (await ask(site, b"other")).status == 200
 
 
-async def test_a_target_that_only_drops_connections_makes_no_suspect(make_site):
+async def test_dropped_connection_makes_no_suspect(make_site):
     """Lost connections on an unreliable link must not turn requests into suspects."""
     site = await make_site(*[async_reset] * 2, attempts=2)
     for _ in range(4):
@@ -57,7 +57,7 @@
     assert not len(site.forwarder.suspects.tracker)
 
 
-async def test_a_victim_is_answered_by_the_next_target(make_site):
+async def test_request_in_progress_beside_a_crash_is_answered(make_site):
     """Requests that were in progress on a crashed target must not be refused."""
     site = await make_crashing_site(make_site, 8)
     victim = FINGERPRINT
@@ -69,7 +69,7 @@
     assert tracker.evaluate(victim, read_clock()) is Verdict.CLEAR
 
 
-async def test_a_refusal_tells_the_truth_and_no_time_to_come_back(make_site):
+async def test_refusal_of_a_suspect_has_no_retry_after(make_site):
     """A caller that was told when to retry would crash the next target."""
     site = await make_crashing_site(make_site, 8, attempts=3)
     has_run = await ask(site, MARK)
@@ -79,7 +79,7 @@
     assert not not_run.get("retry-after")
 
 
-async def test_a_suspect_is_tried_where_nothing_else_is_in_progress(make_site):
+async def test_suspect_is_sent_where_no_other_request_is_in_progress(make_site):
     """A third crash should lose as little other work as possible."""
     site = await make_crashing_site(make_site, 3)
     chooser = site.chooser
--- a/libraries/gateway/tests/test_idle_timeout.py
+++ b/libraries/gateway/tests/test_idle_timeout.py
@@ -12,13 +12,13 @@
 )
 
 
-async def test_silent_target_is_left():
+async def test_silent_target_is_abandoned():
     with pytest.raises(TargetSilentError):
         async with IdleTimeout(0.01, 1.0, lambda: True):
             await asyncio.Event().wait()
 
 
-async def test_pause_within_a_stream_is_bounded_too():
+async def test_pause_within_a_stream_is_limited():
     with pytest.raises(TargetSilentError):
         async with IdleTimeout(5.0, 0.01, lambda: True) as watch:
             watch.pause()
@@ -26,7 +26,7 @@
             await asyncio.Event().wait()
 
 
-async def test_silence_ends_nothing_while_no_other_may_go_on(monkeypatch):
+async def test_silent_target_is_kept_while_no_other_can_take_over(monkeypatch):
     """Without another target the caller must keep the chance of a late answer."""
     monkeypatch.setattr(c, "SILENCE_RECHECK_SECONDS", 0.01)
     asked = []
@@ -41,14 +41,14 @@
                 await asyncio.sleep(0.005)
 
 
-async def test_an_overdue_target_is_left_for_one_that_would_be_in_time():
+async def test_overdue_target_is_abandoned_for_a_faster_one():
     """An overdue target is not silent yet, so no fault must be recorded."""
     with pytest.raises(StreamMovedError):
         async with IdleTimeout(5.0, 5.0, lambda: True, 0.01, lambda: True):
             await asyncio.Event().wait()
 
 
-async def test_an_overdue_target_is_kept_while_no_other_is_in_time(monkeypatch):
+async def test_overdue_target_is_kept_while_no_other_is_faster(monkeypatch):
     """Processing the prompt again elsewhere would take even longer."""
     monkeypatch.setattr(c, "SILENCE_RECHECK_SECONDS", 0.01)
     with pytest.raises(TargetSilentError):
@@ -63,7 +63,7 @@
         await asyncio.sleep(0.06)
 
 
-async def test_end_of_the_request_is_not_taken_for_silence():
+async def test_time_limit_of_the_request_is_not_a_silent_target():
     """The request's own time limit must not be reported as a silent target."""
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.01), IdleTimeout(5.0, 5.0, lambda: True):
--- a/libraries/gateway/tests/test_limits.py
+++ b/libraries/gateway/tests/test_limits.py
@@ -3,7 +3,7 @@
 from tarragonward_standins import answer_with, stream_events
 
 
-async def test_a_target_that_names_a_limit_gets_no_more(make_site):
+async def test_announced_rate_limit_is_kept(make_site):
     """An overloaded target announced one request per second and received three."""
     limited = answer_with(lines=["X-Target-Limit: 1"])
     site = await make_site(limited, answer_with())
@@ -13,7 +13,7 @@
     assert len(site.targets[1].seen) >= 29
 
 
-async def test_all_targets_limited_are_refused_at_once_with_a_time_to_come_back(
+async def test_requests_beyond_all_limits_are_refused_with_retry_after(
     make_site,
 ):
     """A caller must not wait until its deadline for a limit that admits nothing."""
@@ -27,7 +27,7 @@
     assert last.get("x-result-code") == ["2001"]
 
 
-async def test_a_limit_that_is_named_no_more_has_ended(make_site):
+async def test_limit_that_is_no_longer_announced_ends(make_site):
     """A recovered target must not be held to the rate that it once announced."""
     named = []
 
@@ -43,7 +43,7 @@
     assert (await site.async_ask()).status == 200
 
 
-async def test_a_target_that_names_a_limit_helps_to_read_no_prompt(make_engines):
+async def test_rate_limited_target_is_no_helper(make_engines):
     """A target's rate limit does not count the prefill that it does for others."""
     answer = stream_events(range(1, 3))
     site = await make_engines(*[answer] * 4)
--- a/libraries/gateway/tests/test_moving.py
+++ b/libraries/gateway/tests/test_moving.py
@@ -58,7 +58,7 @@
     return script
 
 
-async def test_a_stream_moves_off_an_engine_that_begins_to_read_for_long(make_engines):
+async def test_stream_moves_off_an_engine_with_a_long_prefill(make_engines):
     """A stream must not stall while its engine prefills another host's long prompt.
 
     The engine sends nothing for two seconds, and the caller would disconnect. The
@@ -87,7 +87,7 @@
     assert site.chooser.target_health.ejected_count == 0
 
 
-async def test_a_stream_stays_where_no_other_engine_would_be_in_time(make_engines):
+async def test_stream_stays_if_no_other_engine_is_in_time(make_engines):
     """All engines have long prefills, so a moved stream would wait just as long."""
     asked = []
 
@@ -108,7 +108,7 @@
     assert len(asked) == 1
 
 
-async def test_a_stream_does_not_move_to_an_engine_in_doubt(make_engines):
+async def test_stream_does_not_move_to_an_ejected_engine(make_engines):
     """Streams must not move to a crashed engine during a prefill on the live one.
 
     The dead engine has no reported load, so every stream would move to it, return at
@@ -129,7 +129,7 @@
     assert len(asked) == 1
 
 
-async def test_a_prompt_does_not_leave_a_silent_engine_for_one_in_doubt(make_engines):
+async def test_prompt_does_not_move_to_an_ejected_engine(make_engines):
     """Queued prompts must not move to a crashed engine when they are late.
 
     They would give up their places for the dead engine, return to a full queue and be
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize(
     ("fail", "engines"), [(refuse_with(), 2), (async_lose, 3)], ids=["refused", "lost"]
 )
-async def test_a_stream_that_fails_where_it_went_returns(make_engines, fail, engines):
+async def test_stream_returns_if_its_new_engine_fails(make_engines, fail, engines):
     """A stream moves to an engine that refuses it or crashes.
 
     Both targets that the route allows have been used. The stream must return to the
@@ -197,7 +197,7 @@
     return site
 
 
-async def test_a_stream_whose_new_engine_is_dead_returns(make_engines, monkeypatch):
+async def test_stream_returns_if_its_new_engine_is_dead(make_engines, monkeypatch):
     """A stream moves to an engine whose crash has not been noticed yet.
 
     A long prefill delays the stream at the first engine. The stream must return there,
@@ -223,7 +223,7 @@
     assert asked[1].get("last-event-id") == ["2"]
 
 
-async def test_a_stream_moves_though_an_event_comes_as_it_leaves(make_engines):
+async def test_event_during_a_move_does_not_end_the_move(make_engines):
     """A stream must not be aborted because an event arrives during its move.
 
     A long prefill delays the stream, and the move is charged the last retry of the
@@ -254,7 +254,7 @@
     assert asked[1].get("last-event-id") == ["3"]
 
 
-async def test_a_prompt_that_left_a_silent_engine_for_a_dead_one_returns(
+async def test_prompt_returns_to_a_silent_engine_from_a_dead_one(
     make_engines, monkeypatch
 ):
     """A silent engine is abandoned, and the other one has crashed unnoticed.
--- a/libraries/gateway/tests/test_overdue.py
+++ b/libraries/gateway/tests/test_overdue.py
@@ -29,7 +29,7 @@
     return async_make
 
 
-async def test_a_prompt_that_waits_unread_is_read_in_time_elsewhere(make_pair):
+async def test_overdue_prompt_moves_to_another_engine(make_pair):
     """A prompt queued behind unreported work until its caller disconnected."""
     site, asked = await make_pair()
     async with asyncio.timeout(site.state.table.routes[0].aim_seconds):
@@ -39,7 +39,7 @@
     assert site.chooser.target_health.ejected_count == 0
 
 
-async def test_a_prompt_stays_where_no_other_would_be_in_time(make_pair):
+async def test_overdue_prompt_stays_if_no_other_engine_is_in_time(make_pair):
     """The aim has passed, so a second prefill would only waste engine time."""
     site, asked = await make_pair(aim_seconds=0.1)
     asking = asyncio.create_task(site.async_ask_prompt(PROMPT))
@@ -48,7 +48,7 @@
     asking.cancel()
 
 
-async def test_no_prompt_is_left_beyond_the_budget_of_repeats(make_pair):
+async def test_overdue_prompt_stays_without_retry_budget(make_pair):
     """A fleet that is slow as a whole must not process each prompt twice."""
     site, asked = await make_pair()
     site.state.budget.bounds = RetryBudgetBounds(0.0, 0.0, 10.0)
@@ -58,7 +58,7 @@
     asking.cancel()
 
 
-async def test_no_other_engine_is_looked_for_among_thousands(make_pair, monkeypatch):
+async def test_overdue_prompt_stays_in_a_very_large_fleet(make_pair, monkeypatch):
     """Planning among all engines of a very large fleet would stall the host."""
     monkeypatch.setattr(c, "MAX_CROSS_CELL_ENGINES", 1)
     site, asked = await make_pair()
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -42,13 +42,13 @@
         return list(self.target_health.select(self.targets, read_clock()))
 
 
-def test_unreached_target_is_left_out_and_the_others_stay():
+def test_unreachable_target_alone_is_ejected():
     host = ProberFixture([("a", CLOSED), ("a", CLOSED), ("b", CLOSED)])
     host.probes.record_failure(host.targets[0], SendFault.NOT_CONNECTED)
     assert host.select() == host.targets[1:]
 
 
-def test_two_unreached_targets_put_their_domain_in_doubt():
+def test_two_unreachable_targets_eject_their_domain():
     """While a domain is cut off, callers must not wait for each of its targets.
 
     Two targets of domain a cannot be reached, so the third is skipped without an
@@ -69,14 +69,14 @@
     assert host.select() == host.targets[2:]
 
 
-def test_all_in_doubt_are_all_tried():
+def test_all_targets_are_tried_if_all_are_ejected():
     host = ProberFixture([("a", CLOSED), ("b", CLOSED)])
     for target in host.targets:
         host.probes.record_failure(target, SendFault.NOT_CONNECTED)
     assert host.select() == host.targets
 
 
-def test_refusal_that_promises_not_run_is_no_doubt():
+def test_refusal_that_promises_not_run_ejects_nothing():
     """A full target is healthy; a helper that its leader could not reach is not."""
     other = Address("127.0.0.1", 10)
     host = ProberFixture([("a", CLOSED), ("b", other)])
@@ -87,7 +87,7 @@
     assert host.select() == host.targets[:1]
 
 
-async def test_target_comes_back_once_it_can_be_reached(monkeypatch):
+async def test_target_is_restored_once_it_can_be_reached(monkeypatch):
     """A probe is a connection without a request, so no request is put at risk."""
     monkeypatch.setattr(c, "TARGET_PROBE_INTERVAL_SECONDS", 0.01)
     monkeypatch.setattr(placement_const, "EJECTION_BASE_SECONDS", 0.02)
@@ -107,7 +107,7 @@
         await server.wait_closed()
 
 
-async def test_a_fault_of_the_loop_keeps_no_target_out_for_good(monkeypatch):
+async def test_probing_continues_after_an_unexpected_error(monkeypatch):
     """An unexpected error in a round of probes must not end the loop.
 
     Without probes a recovered target would stay ejected as long as others are left.
@@ -129,7 +129,7 @@
     await host.probes.async_unload()
 
 
-async def test_dead_targets_that_are_probed_put_no_domain_in_doubt(monkeypatch):
+async def test_failed_probes_do_not_eject_the_domain(monkeypatch):
     """Failed probes of two dead targets must not eject their whole domain.
 
     A host with little traffic sees no answer between these probes. If they counted
@@ -150,7 +150,7 @@
         await host.probes.async_unload()
 
 
-async def test_a_helper_that_a_refusal_names_by_its_address_is_left_out(make_site):
+async def test_helper_reported_by_its_address_is_ejected(make_site):
     """A helper reported by its address must be ejected like one reported by its id.
 
     The address was looked up as an id and not found, so the next prompt used the same
@@ -171,7 +171,7 @@
     ]
 
 
-async def test_a_prompt_whose_helpers_leave_returns_to_its_leader(make_site):
+async def test_refusals_on_behalf_of_helpers_use_no_sends(make_site):
     """Refusals on behalf of helpers must not use up the sends that a route allows.
 
     Two helpers have left while the registry is silent, and the leader's refusals
@@ -214,7 +214,7 @@
     "script",
     [answer_with(status="500 Failed"), answer_with(seal="X-None: 1"), async_reset],
 )
-async def test_a_target_that_fails_all_its_work_gets_little_of_it(make_site, script):
+async def test_target_that_fails_every_request_is_ejected(make_site, script):
     """A target that fails every request at once must be ejected after two in a row.
 
     It passes its health checks and is always the least busy one, so every request was
--- a/libraries/gateway/tests/test_prompts.py
+++ b/libraries/gateway/tests/test_prompts.py
@@ -34,7 +34,9 @@
     ]
 
 
-async def test_helper_that_is_gone_is_left_out_of_the_next_try(make_engines):
+async def test_helper_reported_unreachable_is_excluded_from_the_next_attempt(
+    make_engines,
+):
     """A helper that the leader reports as unreachable must not be used again.
 
     The first leader refuses and names one of the other engines. The next attempt
@@ -60,7 +62,7 @@
     assert not gone[0].seen
 
 
-async def test_prompt_that_no_group_can_hold_is_refused_at_once(make_engines):
+async def test_prompt_beyond_all_memory_is_refused_at_once(make_engines):
     """A prompt beyond the memory of all engines is refused without a send."""
     site = await make_engines(stream_events([1]))
     async with asyncio.timeout(2):
@@ -69,7 +71,9 @@
     assert site.runs == 0
 
 
-async def test_engine_that_pauses_in_mid_stream_is_not_left(make_engines, monkeypatch):
+async def test_engine_that_pauses_within_a_stream_is_not_abandoned(
+    make_engines, monkeypatch
+):
     """A stream must not be aborted while its engine pauses and all others are full.
 
     If the engine were abandoned, the one remaining send would be refused. The caller
@@ -101,7 +105,9 @@
     assert site.runs == 1
 
 
-async def test_engine_silent_before_its_first_event_is_left(make_engines, monkeypatch):
+async def test_engine_silent_before_its_first_event_is_abandoned(
+    make_engines, monkeypatch
+):
     """An engine accepts the prompt and sends nothing; another one answers in time."""
     monkeypatch.setattr(c, "SILENCE_MIN_FIRST_SECONDS", 0.05)
     asked = []
@@ -120,7 +126,7 @@
     assert len(asked) == 2
 
 
-async def test_a_silent_engine_is_not_left_for_nobody(make_engines, monkeypatch):
+async def test_silent_engine_is_kept_without_another_target(make_engines, monkeypatch):
     """A silent engine must not be abandoned when no other engine can take over.
 
     The other engine has crashed. Abandoned, the request had no target left and the
@@ -162,7 +168,7 @@
         return True
 
 
-async def test_memory_held_for_a_prompt_is_freed_when_its_send_ends(make_engines):
+async def test_reserved_memory_is_released_when_the_send_ends(make_engines):
     """Memory reserved for a prompt on several engines must not leak."""
     site = await make_engines(*[stream_events([1])] * 4)
     orders = site.forwarder._reservations._calls = Orders()
@@ -174,7 +180,7 @@
             await asyncio.sleep(0.01)
 
 
-async def test_a_helper_that_cannot_be_reached_is_left_out_before_the_send(
+async def test_unreachable_helper_is_excluded_before_the_send(
     make_engines, monkeypatch
 ):
     """An engine is unreachable but still registered when a long prompt needs helpers.
@@ -199,7 +205,7 @@
     )
 
 
-async def test_a_callers_own_priority_does_not_reach_the_engine(make_engines):
+async def test_priority_header_of_a_caller_is_removed(make_engines):
     """Engines admit by this header, so a caller could overtake all others with it."""
     site = await make_engines(stream_events([1, 2]))
     lines = ["X-Tokens: 2000,500", "X-Priority: 0", "x-priority: 1"]
@@ -208,7 +214,7 @@
     assert not request.get("x-priority")
 
 
-async def test_a_host_learns_by_events_that_an_engine_is_slow(make_engines):
+async def test_slow_engine_is_detected_by_its_event_times(make_engines):
     """A slow engine must not be chosen by its published pass time alone.
 
     Events arrive every 0.2 s, and the published time of a pass is 0.043 s. The next
--- a/libraries/gateway/tests/test_publications.py
+++ b/libraries/gateway/tests/test_publications.py
@@ -158,7 +158,7 @@
     }
 
 
-async def test_a_host_beside_a_dead_store_serves_by_what_a_peer_holds(start):
+async def test_host_without_a_source_serves_from_a_peers_records(start):
     """A host that restarts while the source is down for it must serve at once.
 
     A peer sends it the table, the targets and later changes, and how long ago the
@@ -175,7 +175,7 @@
     assert first.table.version == 7
 
 
-async def test_nothing_is_called_fresh_without_an_answer_of_the_source(start):
+async def test_nothing_is_confirmed_without_an_answer_of_the_source(start):
     dead = Source()
     dead.is_down = True
     states = [(await start(address, dead))[0] for address in (FIRST, SECOND)]
@@ -183,7 +183,7 @@
     assert all(state.table_confirmed_at == float("-inf") for state in states)
 
 
-async def test_a_watch_that_is_never_answered_is_given_up(start, monkeypatch):
+async def test_unanswered_watch_is_abandoned(start, monkeypatch):
     """A watch that never returns must not leave an outdated table in force.
 
     The source was unreachable when the watch was sent and never answers it, but it
@@ -200,7 +200,7 @@
     assert state.metrics.get_count("source_asks_given_up") >= 1
 
 
-async def test_what_was_long_on_its_way_is_not_called_fresh(start, monkeypatch):
+async def test_transfer_time_counts_towards_the_confirmed_age(start, monkeypatch):
     """The transfer time of an answer must count towards its age.
 
     A large answer lacks what was published during its transfer. If it counted as
@@ -215,7 +215,7 @@
     assert read_clock() - state.table_confirmed_at >= 0.5
 
 
-async def test_a_table_that_cannot_be_read_is_counted_and_changes_nothing(start):
+async def test_unreadable_table_is_counted_and_not_installed(start):
     """A table in an unknown format must not replace the current one.
 
     The host keeps the previous table and counts the refusal for operators.
@@ -242,7 +242,7 @@
     return RecordBatch(records, revision, True)
 
 
-async def test_targets_that_lapse_together_are_used_a_moment_longer(start):
+async def test_targets_whose_records_expire_together_are_used_for_a_while(start):
     """After an outage of the source the records of all targets have expired.
 
     If they were removed at once, all requests would be refused. A target whose record
@@ -258,7 +258,7 @@
     assert [target.id for target in state.registry.get_ready("s")] == ["0"]
 
 
-async def test_a_withdrawal_told_as_a_change_after_an_outage_is_in_time(start):
+async def test_withdrawal_after_an_outage_stays_within_the_drain_time(start):
     """A target that leaves just after an outage must not be used beyond its drain time.
 
     Its record may have expired, so it is used for a while longer. A change can take up
@@ -274,7 +274,7 @@
     assert len(state.registry.get_ready("s")) == 5
 
 
-async def test_a_single_target_that_is_withdrawn_is_gone_at_once(start):
+async def test_single_withdrawn_target_is_removed_at_once(start):
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
     task.apply(build_whole(6, 10), 0)
@@ -282,7 +282,7 @@
     assert len(state.registry.get_ready("s")) == 5
 
 
-async def test_a_large_table_comes_over_a_thin_link_from_a_peer(start):
+async def test_large_table_is_pulled_over_a_thin_link(start):
     """Concurrent pulls of a large table on a thin link must not all time out.
 
     One transfer takes most of a second. When another pull shares the link, both time
@@ -305,7 +305,7 @@
         assert await async_wait_for_table(state, 5) <= APPLY_SECONDS
 
 
-async def test_a_reading_of_the_source_comes_to_its_end_beside_peers_that_are_ahead(
+async def test_read_of_the_source_finishes_while_peers_are_ahead(
     start,
 ):
     """Messages of peers that are ahead must not restart a read of the source.
--- a/libraries/gateway/tests/test_pulls.py
+++ b/libraries/gateway/tests/test_pulls.py
@@ -4,7 +4,7 @@
 from tarragonward_gateway.pulls import PullLimit
 
 
-def test_pulls_do_not_pile_up_on_a_thin_link():
+def test_concurrent_pulls_are_limited():
     """A transfer of a large table takes longer than the interval between pulls.
 
     If every message of a peer that is ahead started a pull, all pulls would share the
@@ -15,7 +15,7 @@
     assert begun == [True] * c.MAX_PULLS + [False] * (8 - c.MAX_PULLS)
 
 
-def test_a_pull_that_ended_makes_room_for_the_next():
+def test_ended_pull_allows_the_next():
     limit = PullLimit()
     assert limit.begin(1.0)
     assert limit.begin(1.3)
--- a/libraries/gateway/tests/test_readers.py
+++ b/libraries/gateway/tests/test_readers.py
@@ -45,13 +45,13 @@
     return follower
 
 
-def test_all_hosts_of_a_small_fleet_ask():
+def test_all_hosts_of_a_small_fleet_poll():
     places = choose_all(build_hosts(MAX_SINGLE_CELL_HOSTS)).values()
     assert {place.rank for place in places} == set(range(MAX_SINGLE_CELL_HOSTS))
     assert all(place.standby_rank is None for place in places)
 
 
-def test_two_hosts_of_each_group_ask_in_turn():
+def test_two_hosts_of_each_group_poll():
     places = choose_all(build_hosts(75))
     pollers = [place for place in places.values() if place.standby_rank is None]
     groups = {place.group for place in places.values()}
@@ -60,7 +60,7 @@
     assert all(name in place.group for name, place in places.items())
 
 
-def test_a_reader_that_is_silent_is_replaced():
+def test_silent_poller_is_replaced():
     hosts = build_hosts(75)
     before = choose_all(hosts)
     dead = {name for name, place in before.items() if place.standby_rank is None}
@@ -69,7 +69,7 @@
     assert len(again) == len(dead)
 
 
-def test_a_fed_host_asks_once_nobody_confirms_what_it_holds(standby):
+def test_standby_polls_once_its_data_is_not_confirmed(standby):
     """A standby must poll when both pollers of its group have died.
 
     Its data is no longer confirmed, and requests would go to targets that have left.
@@ -86,7 +86,7 @@
     )
 
 
-def test_a_fed_host_that_is_behind_pulls_at_once_and_asks_no_source(standby):
+def test_standby_that_is_behind_pulls_from_a_peer_at_once(standby):
     told = PeerReported("mate", 11, 0.01)
     assert standby.handle(told, 10, 75, 1.1) == [PullFromPeer("mate")]
     assert standby.handle(told, 10, 75, 1.1 + c.BEHIND_GRACE_SECONDS) == [
@@ -96,7 +96,7 @@
     assert isinstance(standby.choose_step(STANDBY, 0.01, 2.0), Pause)
 
 
-def test_failures_of_a_fed_host_end_when_it_is_fed_again(standby):
+def test_failures_of_a_standby_end_when_it_is_confirmed_again(standby):
     """Old failures of a standby must not make a later single one a long outage."""
     standby.choose_step(STANDBY, 9.0, 2.0)
     standby.handle(SourceFailed(), 10, 75, 2.0)
@@ -108,7 +108,7 @@
     assert not standby.is_after_outage(50.0)
 
 
-def test_readers_watches_that_a_change_woke_end_one_after_the_other():
+def test_watches_of_pollers_are_staggered_after_a_change():
     follower = Follower(random.Random(1), 0.0)
     follower.handle(SourceAnswered(True), 10, 75, 1.0)
     waits = [
--- a/libraries/gateway/tests/test_record_exchange.py
+++ b/libraries/gateway/tests/test_record_exchange.py
@@ -40,7 +40,7 @@
     await server.async_unload()
 
 
-async def test_a_large_table_reaches_a_peer_in_few_bytes(serving_peer):
+async def test_large_table_is_sent_compressed(serving_peer):
     """An uncompressed large table would not arrive before the pull times out.
 
     A host on a thin link would keep its outdated table.
@@ -53,7 +53,7 @@
     assert len(routes._pack(0)) < len(table.value) / 2
 
 
-async def test_records_that_grow_beyond_the_bound_are_refused():
+async def test_records_beyond_the_decompressed_limit_are_refused():
     bomb = zlib.compress(bytes(c.MAX_RECORDS_BYTES + 1))
 
     async def async_answer(request, responder):
--- a/libraries/gateway/tests/test_record_store.py
+++ b/libraries/gateway/tests/test_record_store.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_books_agree_with_the_source_after_any_order(seed, monkeypatch):
+def test_stores_agree_with_the_source_after_any_order(seed, monkeypatch):
     """Hosts receive changes late, twice, from each other and from pages.
 
     The revision of an item never decreases on any host, and in the end each store
@@ -110,7 +110,7 @@
         assert held == source.items
 
 
-def test_a_peer_that_was_away_long_is_given_all(monkeypatch):
+def test_peer_that_was_away_for_long_receives_a_snapshot(monkeypatch):
     """A forgotten withdrawal shows only by the item's absence from a snapshot."""
     monkeypatch.setattr(const, "MAX_WITHDRAWN_RECORDS", 1)
     record_store, away = RecordStore(), RecordStore()
@@ -125,7 +125,7 @@
     assert [r.key for r in away.get_since(0).records if r.value] == ["k2"]
 
 
-def test_a_withdrawal_heard_ahead_of_its_turn_holds():
+def test_older_record_does_not_undo_a_withdrawal():
     """A withdrawal from one peer arrives before an older record from another peer.
 
     The older record must not bring the item back.
@@ -138,7 +138,7 @@
     assert [r.key for r in record_store.get_since(0).records if r.value] == []
 
 
-def test_a_peer_of_one_that_read_all_learns_that_it_lacks_a_withdrawal():
+def test_snapshot_shows_a_peer_that_it_lacks_a_withdrawal():
     """A host that starts after a withdrawal reads a snapshot without the target.
 
     A peer that still has the target compared the greatest revisions of the records,
--- a/libraries/gateway/tests/test_reservations.py
+++ b/libraries/gateway/tests/test_reservations.py
@@ -104,7 +104,7 @@
             await asyncio.sleep(0.001)
 
 
-async def test_all_parts_are_held_and_then_freed() -> None:
+async def test_all_parts_are_reserved_and_then_released() -> None:
     """The helpers header contains the ticket of each helper's reservation."""
     targets = FakeTargets()
     choice = build_choice()
@@ -119,7 +119,7 @@
     await async_wait_until(lambda: not targets.held)
 
 
-async def test_refused_part_frees_the_others() -> None:
+async def test_refused_part_releases_the_others() -> None:
     """Two hosts that each held half a group would wait for each other forever.
 
     The second target refuses after the first has granted. The first part is released,
@@ -132,7 +132,7 @@
     assert targets.held == {}
 
 
-async def test_part_whose_answer_was_lost_is_freed_too() -> None:
+async def test_part_whose_answer_was_lost_is_released() -> None:
     """The target may have reserved the memory, which would then leak."""
     targets = FakeTargets()
     targets.silent_after_holding = {"t2"}
@@ -141,7 +141,7 @@
     await async_wait_until(lambda: not targets.held)
 
 
-async def test_caller_that_leaves_while_reserving_frees_all() -> None:
+async def test_cancelled_reservation_releases_all_parts() -> None:
     """Memory must not leak if the request is cancelled between two grants."""
     targets = FakeTargets()
     targets.hanging = {"t2"}
@@ -152,7 +152,7 @@
     await async_wait_until(lambda: not targets.held)
 
 
-async def test_held_parts_are_renewed_until_released() -> None:
+async def test_reservations_are_renewed_until_released() -> None:
     """Reservations expire soon, to free a dead host's memory, so they are renewed."""
     targets = FakeTargets()
     lease = await build_task(targets, 0.02).async_reserve(build_choice())
@@ -177,7 +177,7 @@
     assert len({choice.ticket for choice in choices}) == len(choices)
 
 
-async def test_renewing_goes_on_after_a_renewal_that_was_lost() -> None:
+async def test_renewal_continues_after_a_lost_answer() -> None:
     """A reservation must not expire because one renewal is lost."""
     targets = FakeTargets()
     lease = await build_task(targets, 0.02).async_reserve(build_choice())
@@ -187,7 +187,7 @@
     lease.release()
 
 
-async def test_a_hold_is_short_enough_to_end_with_a_dead_host() -> None:
+async def test_reservation_expires_soon_after_its_host_died() -> None:
     """A killed host releases nothing, so its reservations must expire in time."""
     targets = FakeTargets()
     lease = await build_task(targets, free_seconds=4.0).async_reserve(build_choice())
@@ -196,7 +196,7 @@
     lease.release()
 
 
-async def test_a_renewal_at_a_later_boot_is_taken_back():
+async def test_renewal_at_a_restarted_target_is_released():
     """A renewal must not leak memory on an engine that has restarted.
 
     The engine restarts under its id before the registry shows it, so the renewal
--- a/libraries/gateway/tests/test_sharing.py
+++ b/libraries/gateway/tests/test_sharing.py
@@ -15,7 +15,7 @@
     site.state.apply_bounds()
 
 
-async def test_without_budget_no_second_target_gets_the_request(make_site):
+async def test_without_retry_budget_no_second_target_is_tried(make_site):
     """Without a budget, retries alone would keep refusing targets overloaded.
 
     The caller is told at once that nothing ran, and when to retry.
@@ -28,14 +28,14 @@
     assert site.runs == 1
 
 
-async def test_a_first_send_that_reached_nobody_is_no_repeat(make_site):
+async def test_first_send_that_was_not_connected_is_no_retry(make_site):
     site = await make_site(answer_with(), answer_with())
     await site.targets[0].async_unload()
     set_bounds(site, retry_share=0.0, retry_slack=0.0)
     assert (await site.async_ask()).status == 200
 
 
-async def test_more_hosts_leave_a_host_fewer_repeats(make_site):
+async def test_retry_budget_is_shared_among_hosts(make_site):
     site = await make_site(refuse_with(), answer_with())
     set_bounds(site, retry_share=0.0, retry_slack=40.0)
     site.state.count_sharing_hosts = lambda: 2
@@ -43,7 +43,7 @@
     assert statuses == [200, 503, 503]
 
 
-async def test_a_host_keeps_to_its_part_of_a_targets_connections(make_site):
+async def test_host_stays_within_its_share_of_a_targets_connections(make_site):
     """A target resets connections beyond its limit, and their requests may have run.
 
     A limit of 100 shared by 50 hosts is two per host: the third concurrent request
@@ -69,7 +69,7 @@
     assert site.runs == 4
 
 
-async def test_a_repeat_that_reached_nobody_spends_nothing(make_site):
+async def test_retry_that_was_not_connected_is_not_charged(make_site):
     """Retries to an unreachable failure domain must not exhaust the retry budget.
 
     One target refuses, the next cannot be reached, the third answers. Only the retry
--- a/libraries/gateway/tests/test_suspect_task.py
+++ b/libraries/gateway/tests/test_suspect_task.py
@@ -58,14 +58,14 @@
         yield made
 
 
-async def test_crashes_that_hosts_see_one_each_are_added_up(hosts, wait_for):
+async def test_crashes_seen_by_different_hosts_are_added_up(hosts, wait_for):
     """Repeated at another host each time, a request crashes one target per host."""
     for target, host in enumerate(hosts):
         host.crash(target)
     await wait_for(lambda: {h.verdict for h in hosts} == {Verdict.REFUSED})
 
 
-async def test_a_host_that_hears_none_of_the_others_is_isolated(hosts):
+async def test_host_that_receives_nothing_is_isolated(hosts):
     """A host that has lost all others must delay a request after one crash already."""
     assert not any(host.watch.is_isolated() for host in hosts)
     members = hosts[1].peers.members
@@ -73,7 +73,7 @@
     assert hosts[1].watch.is_isolated()
 
 
-async def test_a_host_that_starts_hears_what_is_refused(
+async def test_starting_host_learns_of_refused_suspects(
     hosts, wait_for, build_peer_state
 ):
     """A restarted host must not allow three more crashes."""
@@ -91,7 +91,7 @@
         await new.async_unload()
 
 
-async def test_what_an_operator_lifts_is_lifted_at_all_hosts(hosts, wait_for):
+async def test_suspect_cleared_by_an_operator_is_cleared_at_all_hosts(hosts, wait_for):
     for target in range(3):
         hosts[0].crash(target)
     await wait_for(lambda: {h.verdict for h in hosts} == {Verdict.REFUSED})
@@ -100,7 +100,7 @@
     await wait_for(lambda: {h.verdict for h in hosts} == {Verdict.CLEAR})
 
 
-def test_keepers_are_of_each_failure_domain():
+def test_aggregators_are_chosen_in_each_failure_domain():
     """Crashes must be counted on each side while failure domains are cut off."""
     peers = tuple(
         KnownPeer(
