--- a/libraries/membership/tests/test_demands.py
+++ b/libraries/membership/tests/test_demands.py
@@ -19,10 +19,10 @@
 
 @pytest.mark.parametrize("is_local", [True, False])
 def test_demand_of_many_accounts_fits_the_byte_limit(is_local):
-    """A demand too large for a message was never sent and blocked all other demands.
+    """A demand too large for a message would never be sent and block all others.
 
     The messages of a large fleet have 60 bytes for demand, and 16 accounts need 100.
-    Now the largest accounts are sent, and the others as one sum.
+    So the largest accounts are sent, and the others as one sum.
     """
     sender, receiver = build_digest(1), build_digest(2)
     sender.set_own_rates(RATES, 0.0)
