--- a/libraries/placement/tarragonward_placement/fleet.py
+++ b/libraries/placement/tarragonward_placement/fleet.py
@@ -104,7 +104,7 @@
     """An engine's usage as its cell reported it; reported_at is in the host's clock."""
 
     reported_at: float
-    work: EngineUsage
+    usage: EngineUsage
 
 
 @dataclass
@@ -162,44 +162,44 @@
         # Usage of engines of other cells, as reported by their hosts.
         self._summaries: dict[str, _CellSummary] = {}
 
-    def begin(self, work: InFlightPrompt) -> None:
+    def begin(self, prompt: InFlightPrompt) -> None:
         """Track a prompt on all its engines until it ends."""
-        for engine in {*work.prefill_ends_at, *work.held_tokens}:
-            self._own.setdefault(engine, {})[work] = None
+        for engine in {*prompt.prefill_ends_at, *prompt.held_tokens}:
+            self._own.setdefault(engine, {})[prompt] = None
         if (
             self.announces_every_prompt
-            or work.part_seconds >= c.IMMEDIATE_NOTICE_SECONDS
+            or prompt.part_seconds >= c.IMMEDIATE_NOTICE_SECONDS
         ):
             for notify in self.on_change:
-                notify(work.part_seconds >= c.BLOCKING_PREFILL_SECONDS)
-        if work.part_seconds >= c.BLOCKING_PREFILL_SECONDS:
-            self._notify_long_prefill(work.prefill_ends_at)
+                notify(prompt.part_seconds >= c.BLOCKING_PREFILL_SECONDS)
+        if prompt.part_seconds >= c.BLOCKING_PREFILL_SECONDS:
+            self._notify_long_prefill(prompt.prefill_ends_at)
 
     def _notify_long_prefill(self, engines: Collection[str]) -> None:
         affected = [engine for engine in engines if engine in self._own]
         for notify in self.on_long_prefill if affected else ():
             notify(affected)
 
-    def end(self, work: InFlightPrompt) -> None:
+    def end(self, prompt: InFlightPrompt) -> None:
         """Stop tracking a prompt."""
-        for engine in {*work.prefill_ends_at, *work.held_tokens}:
-            works = self._own.get(engine, {})
-            works.pop(work, None)
-            if not works:
+        for engine in {*prompt.prefill_ends_at, *prompt.held_tokens}:
+            prompts = self._own.get(engine, {})
+            prompts.pop(prompt, None)
+            if not prompts:
                 self._own.pop(engine, None)
 
     def has_long_prefill(self, now: float) -> bool:
         """Return whether a prompt of this host still has a long prefill ahead."""
         return any(
-            work.compute_prefill_left(engine, now) >= c.BLOCKING_PREFILL_SECONDS
-            for engine, works in self._own.items()
-            for work in works
-            if engine in work.prefill_ends_at
+            prompt.compute_prefill_left(engine, now) >= c.BLOCKING_PREFILL_SECONDS
+            for engine, prompts in self._own.items()
+            for prompt in prompts
+            if engine in prompt.prefill_ends_at
         )
 
     def record_request_count(self, engine: str, requests: int, now: float) -> None:
         """Record an engine's own count of its requests."""
-        own = sum(work.leader == engine for work in self._own.get(engine, ()))
+        own = sum(prompt.leader == engine for prompt in self._own.get(engine, ()))
         self._counts[engine] = _ReportedCount(now, max(0, requests - own))
 
     def record_pass(self, engine: str, slowdown: float, now: float) -> None:
@@ -250,8 +250,8 @@
             self._add_counts(known, now)
         _apply_reported_slowdowns(known, reported)
         for engine, slowdown in self._get_slow_engines(now).items():
-            work = known.setdefault(engine, EngineUsage())
-            work.slowdown = max(work.slowdown, slowdown)
+            usage = known.setdefault(engine, EngineUsage())
+            usage.slowdown = max(usage.slowdown, slowdown)
         return known
 
     def build_digest(self, now: float) -> dict[str, list[Any]]:
@@ -259,10 +259,10 @@
         digest = {}
         slow = self._get_slow_engines(now)
         for engine in {**self._own, **slow}:
-            work = EngineUsage(slowdown=slow.get(engine, 1.0))
+            usage = EngineUsage(slowdown=slow.get(engine, 1.0))
             if engine in self._own:
-                self._add_own(engine, work, now)
-            digest[engine] = _pack_entry(work)
+                self._add_own(engine, usage, now)
+            digest[engine] = _pack_entry(usage)
         return digest
 
     def build_summary(self, engines: Collection[str], now: float) -> dict[str, Any]:
@@ -302,8 +302,8 @@
             if age > c.MAX_HINT_AGE_SECONDS:
                 del self._summaries[engine]
                 continue
-            reported = EngineUsage(slowdown=summary.work.slowdown)
-            _add_usage(reported, summary.work, age)
+            reported = EngineUsage(slowdown=summary.usage.slowdown)
+            _add_usage(reported, summary.usage, age)
             known[engine] = _merge_max(known.get(engine, IDLE_ENGINE), reported)
 
     def apply_digest(self, host: str, data: Any, age: float, now: float) -> None:
@@ -343,22 +343,24 @@
                 slow[engine] = slowdown
         return slow
 
-    def _add_own(self, engine: str, known: EngineUsage, now: float) -> None:
-        for work in self._own[engine]:
-            left = work.compute_prefill_left(engine, now)
-            known.prefill_seconds += left
+    def _add_own(self, engine: str, usage: EngineUsage, now: float) -> None:
+        for prompt in self._own[engine]:
+            left = prompt.compute_prefill_left(engine, now)
+            usage.prefill_seconds += left
             if left:
-                known.pending_prefills.append(
-                    PendingPrefill(left, work.aim_at - now, work.weight)
+                usage.pending_prefills.append(
+                    PendingPrefill(left, prompt.aim_at - now, prompt.weight)
                 )
-            known.held_tokens += work.held_tokens.get(engine, 0)
-            if engine != work.leader:
-                known.helper_parts += work.first_event_at is None
+            usage.held_tokens += prompt.held_tokens.get(engine, 0)
+            if engine != prompt.leader:
+                usage.helper_parts += prompt.first_event_at is None
                 continue
-            known.decoding_requests += work.first_event_at is not None
-            known.prefilling_requests += work.first_event_at is None
-            known.context_tokens += work.context_tokens
-            known.add_weight(int(work.pause_aim_seconds * MILLISECONDS), work.weight)
+            usage.decoding_requests += prompt.first_event_at is not None
+            usage.prefilling_requests += prompt.first_event_at is None
+            usage.context_tokens += prompt.context_tokens
+            usage.add_weight(
+                int(prompt.pause_aim_seconds * MILLISECONDS), prompt.weight
+            )
 
 
 def _find_new_long_prefills(
@@ -368,8 +370,8 @@
     known = before.engines if before is not None else {}
     return [
         name
-        for name, work in engines.items()
-        if work.prefill_seconds - known.get(name, IDLE_ENGINE).prefill_seconds
+        for name, usage in engines.items()
+        if usage.prefill_seconds - known.get(name, IDLE_ENGINE).prefill_seconds
         >= c.BLOCKING_PREFILL_SECONDS
     ]
 
@@ -397,23 +399,23 @@
             known[engine].slowdown = max(known[engine].slowdown, slowdown)
 
 
-def _pack_entry(work: EngineUsage) -> list[Any]:
-    slow = [round(work.slowdown * SLOWDOWN_PARTS)] if work.slowdown > 1 else []
+def _pack_entry(usage: EngineUsage) -> list[Any]:
+    slow = [round(usage.slowdown * SLOWDOWN_PARTS)] if usage.slowdown > 1 else []
     return [
-        work.decoding_requests,
-        work.prefilling_requests,
-        work.helper_parts,
-        work.context_tokens // THOUSAND,
-        work.held_tokens // THOUSAND,
-        int(work.prefill_seconds * MILLISECONDS),
-        [[aim, _pack_weight(weight)] for aim, weight in work.weights.items()],
+        usage.decoding_requests,
+        usage.prefilling_requests,
+        usage.helper_parts,
+        usage.context_tokens // THOUSAND,
+        usage.held_tokens // THOUSAND,
+        int(usage.prefill_seconds * MILLISECONDS),
+        [[aim, _pack_weight(weight)] for aim, weight in usage.weights.items()],
         [
             [
                 int(pending.end_seconds * MILLISECONDS),
                 int(pending.aim_seconds * MILLISECONDS),
                 _pack_weight(pending.weight),
             ]
-            for pending in work.pending_prefills
+            for pending in usage.pending_prefills
         ],
         *slow,
     ]
@@ -468,15 +470,15 @@
     )
 
 
-def _add_usage(known: EngineUsage, hint: EngineUsage, age: float) -> None:
-    known.decoding_requests += hint.decoding_requests
-    known.prefilling_requests += hint.prefilling_requests
-    known.helper_parts += hint.helper_parts
-    known.context_tokens += hint.context_tokens
-    known.held_tokens += hint.held_tokens
-    known.prefill_seconds += max(0.0, hint.prefill_seconds - age)
-    for aim, weight in hint.weights.items():
-        known.add_weight(aim, weight)
-    known.pending_prefills += [
-        pending.advance(age) for pending in hint.pending_prefills
+def _add_usage(total: EngineUsage, added: EngineUsage, age: float) -> None:
+    total.decoding_requests += added.decoding_requests
+    total.prefilling_requests += added.prefilling_requests
+    total.helper_parts += added.helper_parts
+    total.context_tokens += added.context_tokens
+    total.held_tokens += added.held_tokens
+    total.prefill_seconds += max(0.0, added.prefill_seconds - age)
+    for aim, weight in added.weights.items():
+        total.add_weight(aim, weight)
+    total.pending_prefills += [
+        pending.advance(age) for pending in added.pending_prefills
     ]
--- a/libraries/placement/tarragonward_placement/placement.py
+++ b/libraries/placement/tarragonward_placement/placement.py
@@ -116,18 +116,18 @@
 
     def note_first_token(self, request_id: str, now: float) -> None:
         """Learn from a prompt's first token; later calls for it have no effect."""
-        work = self._in_flight.get(request_id)
-        if work is None or work.has_first_token:
+        request = self._in_flight.get(request_id)
+        if request is None or request.has_first_token:
             return
-        work.has_first_token = True
-        work.first_token_at = now
-        self._corrections.observe(work, now)
+        request.has_first_token = True
+        request.first_token_at = now
+        self._corrections.observe(request, now)
 
     def note_finished(self, request_id: str, tokens: int, now: float) -> None:
         """Learn the token interval from a complete answer."""
-        work = self._in_flight.get(request_id)
-        if work is not None and work.has_first_token:
-            self._token_interval.observe(now - work.first_token_at, tokens - 1)
+        request = self._in_flight.get(request_id)
+        if request is not None and request.has_first_token:
+            self._token_interval.observe(now - request.first_token_at, tokens - 1)
 
     def release(self, request_id: str) -> None:
         """Stop tracking a prompt that has ended or left its engines."""
--- a/libraries/placement/tarragonward_placement/predictions.py
+++ b/libraries/placement/tarragonward_placement/predictions.py
@@ -44,18 +44,18 @@
     def __len__(self) -> int:
         return len(self._requests)
 
-    def add(self, work: InFlightRequest) -> None:
+    def add(self, request: InFlightRequest) -> None:
         """Track a prompt until it is removed."""
-        self._requests[work.request_id] = work
-        for engine in work.parts:
-            self._by_engine.setdefault(engine, {})[work.request_id] = work
+        self._requests[request.request_id] = request
+        for engine in request.parts:
+            self._by_engine.setdefault(engine, {})[request.request_id] = request
 
     def remove(self, request_id: str) -> None:
         """Stop tracking a prompt; do nothing if it is unknown."""
-        work = self._requests.pop(request_id, None)
-        if work is None:
+        request = self._requests.pop(request_id, None)
+        if request is None:
             return
-        for engine in work.parts:
+        for engine in request.parts:
             self._by_engine[engine].pop(request_id)
             if not self._by_engine[engine]:
                 del self._by_engine[engine]
@@ -71,10 +71,10 @@
     def count_held_by_account(self) -> dict[str, float]:
         """Return the KV cache tokens that long prompts hold through this host."""
         held: dict[str, float] = {}
-        for work in self._requests.values():
-            if work.length_class >= c.FIRST_LONG_CLASS:
-                tokens = sum(work.parts.values())
-                held[work.account] = held.get(work.account, 0.0) + tokens
+        for request in self._requests.values():
+            if request.length_class >= c.FIRST_LONG_CLASS:
+                tokens = sum(request.parts.values())
+                held[request.account] = held.get(request.account, 0.0) + tokens
         return held
 
     def count_queued_tokens(self, view: EngineView, priority: int, now: float) -> float:
@@ -89,11 +89,11 @@
             reported -= view.queued_long_tokens
         prefilled_tokens = view.report_age_seconds * view.prefill_tokens_per_second
         own = sum(
-            work.uncached_tokens
-            for work in self._iterate_unreported(view, now)
-            if work.leader == view.name
-            and not work.has_first_token
-            and work.engine_priority <= priority
+            request.uncached_tokens
+            for request in self._iterate_unreported(view, now)
+            if request.leader == view.name
+            and not request.has_first_token
+            and request.engine_priority <= priority
         )
         return max(0.0, reported - prefilled_tokens) + own
 
@@ -104,23 +104,25 @@
         if view.queued_long_tokens > 0 and priority < c.FIRST_LONG_PRIORITY:
             return True
         return any(
-            work.engine_priority > priority and not work.has_first_token
-            for work in self._iterate_unreported(view, now)
-            if work.leader == view.name
+            request.engine_priority > priority and not request.has_first_token
+            for request in self._iterate_unreported(view, now)
+            if request.leader == view.name
         )
 
     def count_free_kv(self, view: EngineView, now: float) -> int:
         """Return the free KV cache tokens, as far as this host knows."""
         unreported = self._iterate_unreported(view, now)
-        return view.free_kv_tokens - sum(work.parts[view.name] for work in unreported)
+        return view.free_kv_tokens - sum(
+            request.parts[view.name] for request in unreported
+        )
 
     def _iterate_unreported(
         self, view: EngineView, now: float
     ) -> Iterator[InFlightRequest]:
         reported_at = now - view.report_age_seconds - c.REPORT_LAG_ALLOWANCE_SECONDS
-        for work in self.iterate_engine(view.name):
-            if work.placed_at >= reported_at:
-                yield work
+        for request in self.iterate_engine(view.name):
+            if request.placed_at >= reported_at:
+                yield request
 
 
 class TtftCorrections:
@@ -137,14 +139,14 @@
         """Return the factor for predictions of this class."""
         return self._ratios[length_class]
 
-    def observe(self, work: InFlightRequest, now: float) -> None:
+    def observe(self, request: InFlightRequest, now: float) -> None:
         """Update the ratio with the first token of a prompt."""
-        measured = now - work.placed_at
-        ratio = measured / max(work.predicted_ttft_seconds, 1e-3)
-        ratio *= self._ratios[work.length_class]
+        measured = now - request.placed_at
+        ratio = measured / max(request.predicted_ttft_seconds, 1e-3)
+        ratio *= self._ratios[request.length_class]
         ratio = min(max(ratio, c.MIN_CORRECTION), c.MAX_CORRECTION)
-        known = self._ratios[work.length_class]
-        self._ratios[work.length_class] = known + c.CORRECTION_SMOOTHING * (
+        known = self._ratios[request.length_class]
+        self._ratios[request.length_class] = known + c.CORRECTION_SMOOTHING * (
             ratio - known
         )
 
--- a/libraries/placement/tarragonward_placement/readings.py
+++ b/libraries/placement/tarragonward_placement/readings.py
@@ -67,7 +67,7 @@
     """One engine as a candidate for a part: when it ends, and its cost to others."""
 
     name: str
-    work: EngineUsage
+    usage: EngineUsage
     prefill_end_seconds: float
     cost: float
     position_cost: float
@@ -173,33 +173,38 @@
 
 def _build_candidate(
     position: EnginePosition,
-    work: EngineUsage,
+    usage: EngineUsage,
     part: float,
     model: EngineModel,
     is_long: bool,
 ) -> _PrefillCandidate:
-    part *= work.slowdown
-    prefill_seconds = work.prefill_seconds * work.slowdown
+    part *= usage.slowdown
+    prefill_seconds = usage.prefill_seconds * usage.slowdown
     step_seconds = (
-        model.compute_write_seconds(work.decoding_requests, work.context_tokens)
-        * work.slowdown
+        model.compute_write_seconds(usage.decoding_requests, usage.context_tokens)
+        * usage.slowdown
     )
     pause = step_seconds + prefill_seconds + part
     # A request that misses its bound anyway, because of queued prefills, adds no cost.
     cost = sum(
         weight * _compute_added_lateness(pause - part, part, aim / MILLISECONDS)
-        for aim, weight in work.weights.items()
+        for aim, weight in usage.weights.items()
     ) + sum(
         pending.weight
         * _compute_added_lateness(pending.end_seconds, part, pending.aim_seconds)
-        for pending in work.pending_prefills
+        for pending in usage.pending_prefills
     )
     ends = prefill_seconds + part
-    if work.decoding_requests:
+    if usage.decoding_requests:
         ends += 1.5 * step_seconds
     position_cost = position.compute_position_cost(is_long)
     return _PrefillCandidate(
-        position.name, work, ends, cost, position_cost, position.compute_distance_cost()
+        position.name,
+        usage,
+        ends,
+        cost,
+        position_cost,
+        position.compute_distance_cost(),
     )
 
 
@@ -215,7 +220,7 @@
         (
             (
                 _compute_lead_cost(candidate, need, model, need.memory_tokens),
-                candidate.work.requests,
+                candidate.usage.requests,
                 random.random(),
                 candidate,
             )
@@ -255,7 +260,7 @@
     prefill_engines = fixed_leader + prefill_engines
     by_free_memory = sorted(
         prefill_engines,
-        key=lambda candidate: (candidate.work.held_tokens, random.random()),
+        key=lambda candidate: (candidate.usage.held_tokens, random.random()),
     )
     holders = by_free_memory[: c.MAX_RESERVATIONS + 1]
     if fixed_leader and fixed_leader[0] not in holders:
@@ -304,7 +309,7 @@
     eligible = [
         candidate
         for candidate in candidates
-        if candidate.work.helper_parts < model.slots - 1
+        if candidate.usage.helper_parts < model.slots - 1
     ]
     return sorted(
         eligible,
@@ -351,15 +356,15 @@
 def _compute_pass(
     leader: _PrefillCandidate, need: PromptRequirements, model: EngineModel, count: int
 ) -> float:
-    context = leader.work.context_tokens + need.prompt_tokens // count
-    return model.compute_write_seconds(leader.work.decoding_requests + 1, context)
+    context = leader.usage.context_tokens + need.prompt_tokens // count
+    return model.compute_write_seconds(leader.usage.decoding_requests + 1, context)
 
 
 def _compute_room(candidate: _PrefillCandidate, model: EngineModel) -> int:
     """Return the KV cache tokens that a part may take, with a margin left free."""
     return (
         int(model.memory_tokens * c.RESERVABLE_MEMORY_SHARE)
-        - candidate.work.held_tokens
+        - candidate.usage.held_tokens
     )
 
 
@@ -370,19 +375,21 @@
     tokens: int,
 ) -> float:
     """Return the cost of this engine holding the KV cache and decoding the answer."""
-    work = candidate.work
-    pause = model.compute_write_seconds(work.decoding_requests + 1, work.context_tokens)
-    pause = (pause + work.prefill_seconds) * work.slowdown
+    usage = candidate.usage
+    pause = model.compute_write_seconds(
+        usage.decoding_requests + 1, usage.context_tokens
+    )
+    pause = (pause + usage.prefill_seconds) * usage.slowdown
     cost = candidate.cost + candidate.position_cost + candidate.distance_cost
     cost += need.weight * compute_lateness(pause, need.pause_aim_seconds)
-    excess_requests = work.requests + 1 - model.slots
+    excess_requests = usage.requests + 1 - model.slots
     first = (
         candidate.prefill_end_seconds + max(excess_requests, 0) * c.SLOT_WAIT_SECONDS
     )
     cost += need.weight * compute_lateness(first, need.aim_seconds)
     # When memory runs out, the engine evicts its newest request, which is prefilled
     # again.
-    room = model.memory_tokens * c.USABLE_MEMORY_SHARE - work.held_tokens
+    room = model.memory_tokens * c.USABLE_MEMORY_SHARE - usage.held_tokens
     if tokens > room:
-        cost += need.weight + sum(work.weights.values())
+        cost += need.weight + sum(usage.weights.values())
     return cost
--- a/libraries/placement/tarragonward_placement/relocation.py
+++ b/libraries/placement/tarragonward_placement/relocation.py
@@ -8,9 +8,9 @@
 __all__ = ["should_migrate", "predict_event_wait"]
 
 
-def predict_event_wait(work: EngineUsage, pass_seconds: float) -> float:
+def predict_event_wait(usage: EngineUsage, pass_seconds: float) -> float:
     """Return the seconds until an engine's decoding requests get their next event."""
-    return (work.prefill_seconds + pass_seconds) * work.slowdown
+    return (usage.prefill_seconds + pass_seconds) * usage.slowdown
 
 
 def should_migrate(
