--- a/libraries/gateway/tarragonward_gateway/following.py
+++ b/libraries/gateway/tarragonward_gateway/following.py
@@ -159,7 +159,7 @@
         self._has_source_answered = False
         # Whether this host's data came from a peer, before any answer of the source.
         self._has_peer_data = False
-        self._was_woken = True
+        self._staggers_next_watch = True
         # If all hosts of a large fleet read all records at a simultaneous start, the
         # source refuses most calls and the fleet serves only seconds later. So hosts
         # with a start wait let others read first, and pull from those; the wait starts
@@ -231,13 +231,15 @@
         hosts = order.poller_count
         if order.group:
             wait = min(c.MAX_WATCH_SECONDS, hosts * c.POLLER_WATCH_STAGGER_SECONDS)
-            return wait * (order.rank + 1) / hosts if self._was_woken else wait
+            return (
+                wait * (order.rank + 1) / hosts if self._staggers_next_watch else wait
+            )
         # A change ends all watches at once. New watches of equal length would end
         # together too, and for seconds no host would know of changes. The rank
         # staggers them.
         interval = max(c.WATCH_STAGGER_SECONDS, c.MIN_WATCH_SECONDS / hosts)
         interval = min(interval, c.MAX_WATCH_SECONDS / hosts)
-        return interval * (order.rank + 1 if self._was_woken else hosts)
+        return interval * (order.rank + 1 if self._staggers_next_watch else hosts)
 
     def handle(
         self, event: FollowEvent, complete_revision: int, hosts: int, now: float
@@ -255,7 +257,7 @@
     def handle_answer(self, has_changes: bool, is_gap: bool, now: float) -> None:
         """Process an answer of the source."""
         self._update_outage(now)
-        self._was_woken = has_changes or bool(self.failures)
+        self._staggers_next_watch = has_changes or bool(self.failures)
         self.failures = 0
         self._failing_since = None
         self._has_tried_recovery = False
--- a/libraries/gateway/tests/test_app.py
+++ b/libraries/gateway/tests/test_app.py
@@ -149,10 +149,10 @@
     does the host stop.
     """
     monkeypatch.setattr(c, "BALANCER_NOTICE_SECONDS", 0.0)
-    go_on = asyncio.Event()
+    may_continue = asyncio.Event()
 
     async def script(request, writer):
-        await go_on.wait()
+        await may_continue.wait()
         writer.write(build_answer(request))
 
     host = make_host(60.0)
@@ -164,7 +164,7 @@
     async with asyncio.timeout(WAIT_SECONDS):
         assert await idle.reader.read() == b""
     assert not host.running.done()
-    go_on.set()
+    may_continue.set()
     answer = await caller.async_read_answer()
     assert (answer.status, answer.body) == (200, b"whole")
     async with asyncio.timeout(WAIT_SECONDS):
