--- a/libraries/bench/tests/test_soak.py
+++ b/libraries/bench/tests/test_soak.py
@@ -67,9 +67,9 @@
     ("method", "fault"),
     [
         ("mark_sent", send_without_looking_at_the_time),
-        ("_refuse_for_want_of_room", refuse_and_leave_open),
+        ("_refuse_when_full", refuse_and_leave_open),
         ("_has_room", make_room_by_forgetting),
-        ("_forget_old", forget_when_ended),
+        ("_expire_records", forget_when_ended),
         ("accept", send_each_copy),
         ("record_failure", say_not_run_of_what_broke_off),
     ],
