--- a/libraries/core/tarragonward_core/__init__.py
+++ b/libraries/core/tarragonward_core/__init__.py
@@ -1,4 +1,4 @@
-"""Names, result codes, errors, logs, metrics and invariants that all libraries use."""
+"""Identities, result codes, errors, logs, metrics and invariants for all libraries."""
 
 from .background import BackgroundTasks
 from .code_page import build_code_page
@@ -23,7 +23,7 @@
 )
 from .invariants import Invariants, invariants
 from .line_budget import LineBudget
-from .logs import EventLog, Happening, event_log, format_event, log_event, setup_logging
+from .logs import EventLog, LogEvent, event_log, format_event, log_event, setup_logging
 from .metrics import LENGTH_CLASSES, Metrics, get_length_class
 
 __all__ = [
@@ -35,7 +35,7 @@
     "ConnectionLostError",
     "EventLog",
     "FrameError",
-    "Happening",
+    "LogEvent",
     "HostIdentity",
     "InvariantViolationError",
     "Invariants",
--- a/libraries/core/tarragonward_core/background.py
+++ b/libraries/core/tarragonward_core/background.py
@@ -1,4 +1,4 @@
-"""Own the tasks that run as long as the host, and start again those that fail."""
+"""Supervise the background tasks of a host and restart those that fail."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 __all__ = ["BackgroundTasks"]
 
-RESTART_SECONDS = 1.0
+RESTART_DELAY_SECONDS = 1.0
 
 
 class BackgroundTasks:
-    """The endless loops of one part of the host, by name.
+    """The endless background loops of one component, by name.
 
-    A loop that meets what nobody foresaw ends, and as nobody awaits it, without a
-    word. Symptom: the host serves on by the reports, hosts or configuration of that
-    moment. It is logged, counted (background_failures) and run again after a second.
+    Nothing awaits these tasks, so without supervision an unexpected exception would end
+    a loop silently, and the host would continue with stale reports, hosts or
+    configuration. A failure is logged, counted (background_failures) and followed by
+    a restart after RESTART_DELAY_SECONDS, with jitter.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -30,15 +31,15 @@
 
     @property
     def names(self) -> list[str]:
-        """Return the names of the loops that run."""
+        """Return the names of the running loops."""
         return list(self._tasks)
 
     def start(self, name: str, async_run: Callable[[], Awaitable[None]]) -> None:
-        """Run a loop until async_unload()."""
+        """Run a loop, restarted on failure, until async_unload()."""
         self._tasks[name] = asyncio.create_task(self._async_supervise(name, async_run))
 
     async def async_unload(self) -> None:
-        """End all loops."""
+        """Cancel all loops."""
         tasks, self._tasks = list(self._tasks.values()), {}
         for task in tasks:
             task.cancel()
@@ -58,4 +59,4 @@
                     task=name,
                     error=repr(err),
                 )
-            await asyncio.sleep(RESTART_SECONDS * random.uniform(0.5, 1.5))
+            await asyncio.sleep(RESTART_DELAY_SECONDS * random.uniform(0.5, 1.5))
--- a/libraries/core/tarragonward_core/code_page.py
+++ b/libraries/core/tarragonward_core/code_page.py
@@ -1,4 +1,4 @@
-"""Write the developers' page of result codes from the codes themselves."""
+"""Generate the documentation page of result codes."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def build_code_page() -> str:
-    """Return the whole page as Markdown."""
+    """Return the page as Markdown."""
     rows = [
         f"| {code.number} | {code.name} | {code.http_status} | {code.conclusion.value}"
         f" | {code.repeat.value} | {code.text} |\n"
--- a/libraries/core/tarragonward_core/codes.py
+++ b/libraries/core/tarragonward_core/codes.py
@@ -1,4 +1,4 @@
-"""Define the numbered result codes that callers and operators see."""
+"""Define the numbered result codes that are shown to callers and operators."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Conclusion(Enum):
-    """What a caller may conclude about its request."""
+    """Whether the request was run, as far as the caller can know."""
 
     RUN = "run"
     NOT_RUN = "not run"
@@ -17,7 +17,7 @@
 
 
 class Repeat(Enum):
-    """Whether, and how, a caller may send its request again."""
+    """Whether and how a caller may retry its request."""
 
     NOT_NEEDED = "not needed"
     NO = "no, change the request first"
@@ -41,7 +41,11 @@
 
 
 class ResultCode(Enum):
-    """A numbered result code; 1xxx is the request, 2xxx the fleet, 3xxx the run."""
+    """A numbered result code.
+
+    1xxx: the request. 2xxx: the fleet. 3xxx: the run. 4xxx: non-idempotent calls.
+    5xxx: between hosts, and patches.
+    """
 
     OK = _Code(0, 200, Conclusion.RUN, Repeat.NOT_NEEDED, "The whole answer was given.")
 
@@ -205,32 +209,32 @@
 
     @property
     def number(self) -> int:
-        """Return the number that stands in answers and logs."""
+        """Return the number used in responses and logs."""
         return self.value.number
 
     @property
     def http_status(self) -> int:
-        """Return the HTTP status that goes with the code."""
+        """Return the HTTP status of a response with this code."""
         return self.value.http_status
 
     @property
     def conclusion(self) -> Conclusion:
-        """Return what the caller may conclude."""
+        """Return what the caller may conclude about its request."""
         return self.value.conclusion
 
     @property
     def repeat(self) -> Repeat:
-        """Return whether and how to send the request again."""
+        """Return whether and how the request may be retried."""
         return self.value.repeat
 
     @property
     def text(self) -> str:
-        """Return one sentence for people."""
+        """Return the human-readable message."""
         return self.value.text
 
     @classmethod
     def from_number(cls, number: int) -> ResultCode:
-        """Return the code with this number; raise ValueError if there is none."""
+        """Return the code with this number; raise ValueError if unknown."""
         for code in cls:
             if code.number == number:
                 return code
--- a/libraries/core/tarragonward_core/core.py
+++ b/libraries/core/tarragonward_core/core.py
@@ -1,4 +1,4 @@
-"""Hold the names and times that every library shares."""
+"""Define addresses, host identities and ids that all libraries share."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, order=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -30,21 +30,21 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Return the address of `host:port`; raise ValueError if it is not one."""
+        """Parse `host:port`; raise ValueError if it is not valid."""
         host, separator, port = text.rpartition(":")
         if not separator or not host or not port.isdecimal():
-            raise ValueError(f"not host:port: {text!r}")
+            raise ValueError(f"invalid address {text!r}: expected host:port")
         if not 0 <= int(port) < 65536:
-            raise ValueError(f"no such port: {port}")
+            raise ValueError(f"port out of range: {port}")
         return cls(host, int(port))
 
 
 @dataclass(frozen=True, order=True)
 class HostIdentity:
-    """One life of one entry host: its peer address and its incarnation.
+    """One incarnation of an entry host: its peer address and its incarnation number.
 
-    A host that comes back under its old address has another incarnation, so what
-    its earlier life knew is never taken for its own.
+    A host that restarts under the same address gets another incarnation number, so
+    state of its previous process is never attributed to it.
     """
 
     address: Address
@@ -55,26 +55,28 @@
 
     @classmethod
     def parse(cls, text: str) -> HostIdentity:
-        """Return the identity that str() gave; raise ValueError if it is not one."""
+        """Parse the output of str(); raise ValueError if it is not valid."""
         address, separator, incarnation = text.partition("#")
         if not separator:
-            raise ValueError(f"not host:port#incarnation: {text!r}")
+            raise ValueError(
+                f"invalid identity {text!r}: expected host:port#incarnation"
+            )
         return cls(Address.parse(address), int(incarnation, 16))
 
 
 def new_incarnation() -> int:
-    """Return a random incarnation, as a diskless host remembers no counter."""
+    """Return a random incarnation: a host without a disk can't keep a counter."""
     return secrets.randbits(INCARNATION_BITS)
 
 
 def new_request_id() -> str:
-    """Return an id that no other request has."""
+    """Return a unique request id."""
     return secrets.token_hex(REQUEST_ID_BYTES)
 
 
 def estimate_tokens(text_bytes: int) -> int:
-    """Return how many tokens a prompt of text_bytes UTF-8 bytes has, rounded up.
+    """Estimate the tokens of a prompt of text_bytes bytes of UTF-8, rounded up.
 
-    Source: the assumption of four bytes a token, stated in docs/DECISIONS.md.
+    Assumes BYTES_PER_TOKEN; see docs/DECISIONS.md.
     """
     return -(-text_bytes // BYTES_PER_TOKEN)
--- a/libraries/core/tarragonward_core/exceptions.py
+++ b/libraries/core/tarragonward_core/exceptions.py
@@ -1,4 +1,4 @@
-"""Hold the one tree of exceptions."""
+"""Define the exception hierarchy."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 class TarragonwardError(Exception):
-    """Be the root of all errors that the system raises itself."""
+    """Base class of all errors that the system raises itself."""
 
     code: ResultCode = ResultCode.INTERNAL_ERROR
 
 
 class RequestRefusedError(TarragonwardError):
-    """Refuse a request before any of it ran.
+    """A request was refused before any of it was run.
 
-    retry_after_seconds tells the caller when to come back, where that helps.
+    retry_after_seconds tells the caller when to retry, if a retry can succeed.
     """
 
     def __init__(
@@ -42,34 +42,34 @@
 
 
 class SettingsError(TarragonwardError):
-    """Report settings that are not valid, with file, key, found and allowed."""
+    """Settings are not valid; names the file, key, value found and values allowed."""
 
 
 class ConfigurationError(TarragonwardError):
-    """Report a published configuration or patch that is not valid."""
+    """A published configuration or patch is not valid."""
 
     code = ResultCode.INVALID_PATCH
 
 
 class FrameError(TarragonwardError):
-    """Refuse a frame between hosts: wrong key, cut short, too large or replayed."""
+    """A frame between hosts was refused: wrong key, truncated, too large, replayed."""
 
     code = ResultCode.BAD_FRAME
 
 
 class TargetError(TarragonwardError):
-    """Report that a target did not do what it was asked."""
+    """A target did not do what it was asked to do."""
 
     code = ResultCode.TARGET_FAILED
 
 
 class NotConnectedError(TargetError):
-    """Report that no connection was made, so that nothing was sent."""
+    """No connection was made, so nothing was sent."""
 
 
 class ConnectionLostError(TargetError):
-    """Report a connection lost after something may have been sent."""
+    """The connection was lost after data may have been sent."""
 
 
 class InvariantViolationError(TarragonwardError):
-    """Report a broken invariant; raised only where a test run asks for it."""
+    """An invariant was violated; raised only in strict mode, which tests use."""
--- a/libraries/core/tarragonward_core/exposition.py
+++ b/libraries/core/tarragonward_core/exposition.py
@@ -1,4 +1,4 @@
-"""Write metrics in the text format that scrapers read."""
+"""Write metrics in the Prometheus text exposition format."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from prometheus_client.metrics_core import Metric
 from prometheus_client.registry import CollectorRegistry
 
-from .metrics import MICROSECONDS, HistogramKey, Metrics
+from .metrics import MICROSECONDS_PER_SECOND, HistogramKey, Metrics
 
 __all__ = ["write_exposition"]
 
@@ -27,20 +27,20 @@
 
 
 def write_exposition(metrics: Metrics) -> bytes:
-    """Return all values of the metrics as text."""
+    """Return all metrics in the text exposition format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Collector(metrics))
     return generate_latest(registry)
 
 
 class _Collector:
-    """Gives the families of metrics in the form that prometheus_client writes out."""
+    """Convert metrics to the metric families of prometheus_client."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Give each family once: scrapers refuse one whose HELP and TYPE come twice."""
+        """Yield each family once: scrapers refuse repeated HELP and TYPE lines."""
         counters = self._metrics.iterate_counters()
         for name, group in groupby(counters, key=itemgetter(0)):
             family = CounterMetricFamily(
@@ -53,13 +53,13 @@
             help_text = self._metrics.get_help(name)
             yield GaugeMetricFamily(NAME_PREFIX + name, help_text, value=value)
         histograms = self._metrics.iterate_histograms()
-        for name, found in groupby(histograms, key=lambda item: item[0][0]):
+        for name, group in groupby(histograms, key=lambda item: item[0][0]):
             family = SummaryMetricFamily(
                 f"{NAME_PREFIX}{name}_seconds",
                 self._metrics.get_help(name),
                 labels=HISTOGRAM_LABELS,
             )
-            for key, histogram, total in found:
+            for key, histogram, total in group:
                 _add_histogram(family, key, histogram, total)
             yield family
 
@@ -69,15 +69,15 @@
 ) -> None:
     values = key[1:]
     labels = dict(zip(HISTOGRAM_LABELS, values, strict=True))
-    # All quantiles in one pass: a scrape holds up every stream of this host.
+    # All quantiles in one pass: a scrape blocks the event loop, and so all streams.
     percentiles = [quantile * 100 for quantile in QUANTILES]
     values_at = histogram.get_percentile_to_value_dict(percentiles)
     for quantile, percentile in zip(QUANTILES, percentiles, strict=True):
         quantile_labels = {**labels, "quantile": str(quantile)}
-        seconds = values_at[percentile] / MICROSECONDS
+        seconds = values_at[percentile] / MICROSECONDS_PER_SECOND
         family.add_sample(family.name, quantile_labels, seconds)
     family.add_metric(
         values,
         count_value=histogram.get_total_count(),
-        sum_value=total / MICROSECONDS,
+        sum_value=total / MICROSECONDS_PER_SECOND,
     )
--- a/libraries/core/tarragonward_core/invariants.py
+++ b/libraries/core/tarragonward_core/invariants.py
@@ -1,4 +1,4 @@
-"""Assert invariants inside the running program, always on."""
+"""Check invariants at run time, in production too."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Invariants:
-    """Count, log and, where asked, raise violations of invariants.
+    """Count and log violations of invariants, and raise them in strict mode.
 
-    A daemon must go on serving after a violation, so there it is logged with the
-    request's trace and counted; a test run sets strict and fails at once.
+    A daemon must keep serving after a violation, so there it is only counted and
+    logged with its context; tests set strict to fail at once.
     """
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self.violations: Counter[str] = Counter()
 
     def check(self, holds: bool, name: str, **trace: Any) -> bool:
-        """Return holds; report the violation of the invariant name if it is False."""
+        """Return holds; if it is False, report a violation of the invariant name."""
         if holds:
             return True
         self.violations[name] += 1
@@ -36,7 +36,7 @@
 
     @property
     def count(self) -> int:
-        """Return how many violations were seen in this process."""
+        """Return the number of violations in this process."""
         return self.violations.total()
 
 
--- a/libraries/core/tarragonward_core/line_budget.py
+++ b/libraries/core/tarragonward_core/line_budget.py
@@ -1,55 +1,58 @@
-"""Decide which lines of a log are within its budget."""
+"""Limit the rate of log lines."""
 
 from __future__ import annotations
 
 __all__ = ["LineBudget"]
 
-# Errors may use what other lines must leave.
-RESERVED_SHARE = 0.2
-SAID_EACH_SECONDS = 1.0
+# This share of the burst is reserved for errors.
+URGENT_RESERVED_SHARE = 0.2
+REPORT_INTERVAL_SECONDS = 1.0
 
 
 class LineBudget:
-    """A token bucket of lines; what it turns away is counted until it is said.
+    """A token bucket of log lines; dropped lines are counted until reported.
 
-    Times are a steady clock's, in seconds.
+    Times are in seconds of a monotonic clock.
     """
 
-    def __init__(self, lines_a_second: float, burst: int) -> None:
-        self.lines_a_second = lines_a_second
+    def __init__(self, lines_per_second: float, burst: int) -> None:
+        self.lines_per_second = lines_per_second
         self._burst = burst
-        self._left = float(burst)
-        self._filled_at = float("-inf")
-        self._said_at = float("-inf")
+        self._tokens = float(burst)
+        self._refilled_at = float("-inf")
+        self._reported_at = float("-inf")
         self.dropped = 0
-        self.dropped_unsaid = 0
+        self.dropped_unreported = 0
 
     def admit(self, now: float, lines: int = 1, is_urgent: bool = False) -> bool:
-        """Return whether so many lines may be written, all of them or none."""
-        self._fill(now)
-        reserve = 0.0 if is_urgent else self._burst * RESERVED_SHARE
-        if self._left - lines < reserve:
-            self.note_dropped(lines)
+        """Return whether all lines may be written; if not, count them as dropped."""
+        self._refill(now)
+        reserve = 0.0 if is_urgent else self._burst * URGENT_RESERVED_SHARE
+        if self._tokens - lines < reserve:
+            self.record_dropped(lines)
             return False
-        self._left -= lines
+        self._tokens -= lines
         return True
 
-    def note_dropped(self, lines: int) -> None:
-        """Count lines that were not written, for whatever reason."""
+    def record_dropped(self, lines: int) -> None:
+        """Count lines that were not written."""
         self.dropped += lines
-        self.dropped_unsaid += lines
-
-    def take_unsaid(self, now: float) -> int:
-        """Return how many were dropped and not said yet; 0 until it is time to say."""
-        if not self.dropped_unsaid or now - self._said_at < SAID_EACH_SECONDS:
+        self.dropped_unreported += lines
+
+    def take_unreported(self, now: float) -> int:
+        """Return the lines dropped since the last report; 0 until a report is due."""
+        if (
+            not self.dropped_unreported
+            or now - self._reported_at < REPORT_INTERVAL_SECONDS
+        ):
             return 0
-        unsaid, self.dropped_unsaid = self.dropped_unsaid, 0
-        self._said_at = now
-        return unsaid
-
-    def _fill(self, now: float) -> None:
-        # A clock that stood still or fell back adds nothing.
-        if now > self._filled_at:
-            gained = (now - self._filled_at) * self.lines_a_second
-            self._left = min(float(self._burst), self._left + gained)
-            self._filled_at = now
+        unreported, self.dropped_unreported = self.dropped_unreported, 0
+        self._reported_at = now
+        return unreported
+
+    def _refill(self, now: float) -> None:
+        # A clock that stalls or goes backwards adds no tokens.
+        if now > self._refilled_at:
+            refill = (now - self._refilled_at) * self.lines_per_second
+            self._tokens = min(float(self._burst), self._tokens + refill)
+            self._refilled_at = now
--- a/libraries/core/tarragonward_core/logs.py
+++ b/libraries/core/tarragonward_core/logs.py
@@ -1,4 +1,4 @@
-"""Write one line of key=value pairs for each event, within a budget, never waiting."""
+"""Write a line of key=value pairs for each event, rate-limited and non-blocking."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 __all__ = [
     "DescriptorWriter",
     "EventLog",
-    "Happening",
+    "LogEvent",
     "event_log",
     "format_event",
     "log_event",
@@ -29,8 +29,8 @@
 
 
 @dataclass(frozen=True)
-class Happening:
-    """An event and when it was, by the steady clock, in seconds."""
+class LogEvent:
+    """An event and its time, in seconds of the monotonic clock."""
 
     at: float
     event: str
@@ -40,8 +40,8 @@
 def format_event(event: str, **fields: Any) -> str:
     """Return the line of an event: `event=name key=value ...`.
 
-    A value that could break the line is quoted: hostile input must not be able to
-    forge another event or another field.
+    Values with special characters are quoted and escaped, so that hostile input can't
+    forge another event or field.
     """
     pairs = [f"event={_format_value(event)}"]
     pairs += [f"{key}={_format_value(value)}" for key, value in fields.items()]
@@ -73,32 +73,32 @@
 
 
 class DescriptorWriter:
-    """Write whole lines to a descriptor, and never wait for who reads it.
+    """Write whole lines to a file descriptor without blocking on its reader.
 
-    A reader that stops fills its pipe, and the next write waits. Symptom: the host
-    answers nobody until someone reads its log. A pipe or socket is set not to wait;
-    what it does not take is reported as dropped.
+    When the reader of a log pipe stops, the pipe fills up; a blocking write would then
+    stop the event loop until the log is read. Pipes and sockets are set to
+    non-blocking mode, and lines that don't fit are reported as dropped.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._rest = b""
+        self._pending = b""
         mode = os.fstat(descriptor).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
             os.set_blocking(descriptor, False)
 
     def __call__(self, data: bytes) -> bool:
-        """Return whether the lines were taken; a line begun is ended first."""
+        """Return whether the lines were taken; the rest of earlier data goes first."""
         try:
-            if self._rest:
-                written = os.write(self._descriptor, self._rest)
-                self._rest = self._rest[written:]
-                if self._rest:
+            if self._pending:
+                written = os.write(self._descriptor, self._pending)
+                self._pending = self._pending[written:]
+                if self._pending:
                     return False
             written = os.write(self._descriptor, data)
         except OSError:
             return False
-        self._rest = data[written:]
+        self._pending = data[written:]
         return True
 
 
@@ -108,10 +108,10 @@
 
 
 class EventLog:
-    """The lines of one process: wall clock, seconds since its start, host, event.
+    """The event log of a process: each line has wall clock, uptime, host and event.
 
-    The wall clock may jump; the seconds since the start never do, so a reader can
-    order the lines of a host by them.
+    The wall clock may jump; the uptime never does, so the lines of a host can be
+    ordered by it.
     """
 
     def __init__(
@@ -120,72 +120,72 @@
         budget: LineBudget | None = None,
         host: str = "",
         *,
-        read_wall: Callable[[], float] = time.time,
-        read_steady: Callable[[], float] = time.monotonic,
+        read_wall_clock: Callable[[], float] = time.time,
+        read_monotonic_clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.write = write
         self.budget = budget
         self.host = host
-        self._read_wall = read_wall
-        self._read_steady = read_steady
-        self._started_at = read_steady()
+        self._read_wall_clock = read_wall_clock
+        self._read_monotonic_clock = read_monotonic_clock
+        self._started_at = read_monotonic_clock()
 
     @property
     def dropped(self) -> int:
-        """Return how many lines were not written in this process."""
+        """Return the number of lines dropped in this process."""
         return self.budget.dropped if self.budget is not None else 0
 
-    def log(self, happenings: Sequence[Happening], is_urgent: bool = False) -> bool:
-        """Write happenings as lines, all of them or none; return whether it was."""
-        now = self._read_steady()
-        self.say_dropped(now)
-        count = len(happenings)
+    def log(self, records: Sequence[LogEvent], is_urgent: bool = False) -> bool:
+        """Write all records or none; return whether they were within the budget."""
+        now = self._read_monotonic_clock()
+        self.report_dropped(now)
+        count = len(records)
         if self.budget and not self.budget.admit(now, count, is_urgent):
             return False
-        self._write(happenings, now)
+        self._write(records, now)
         return True
 
-    def say_dropped(self, now: float | None = None) -> None:
-        """Say how many lines were dropped, once a second at most."""
+    def report_dropped(self, now: float | None = None) -> None:
+        """Log the number of dropped lines, at most once per report interval."""
         if self.budget is None:
             return
-        now = self._read_steady() if now is None else now
-        dropped = self.budget.take_unsaid(now)
+        now = self._read_monotonic_clock() if now is None else now
+        dropped = self.budget.take_unreported(now)
         if dropped:
-            said = Happening(now, "log_lines_dropped", {"lines": dropped})
-            self._write([said], now)
+            report = LogEvent(now, "log_lines_dropped", {"lines": dropped})
+            self._write([report], now)
 
-    def _write(self, happenings: Sequence[Happening], now: float) -> None:
-        offset = self._read_wall() - now
-        lines = (self._format(happening, offset) for happening in happenings)
+    def _write(self, records: Sequence[LogEvent], now: float) -> None:
+        offset = self._read_wall_clock() - now
+        lines = (self._format(record, offset) for record in records)
         if not self.write("".join(lines).encode("utf-8", "replace")) and self.budget:
-            self.budget.note_dropped(len(happenings))
+            self.budget.record_dropped(len(records))
 
-    def _format(self, happening: Happening, offset: float) -> str:
+    def _format(self, record: LogEvent, offset: float) -> str:
         host = f" host={self.host}" if self.host else ""
-        up = happening.at - self._started_at
-        line = format_event(happening.event, **happening.fields)
-        return f"at={happening.at + offset:.3f} up={up:.3f}{host} {line}\n"
+        up = record.at - self._started_at
+        line = format_event(record.event, **record.fields)
+        return f"at={record.at + offset:.3f} up={up:.3f}{host} {line}\n"
 
 
 event_log = EventLog(_write_to_standard_error)
 
 
 def log_event(event: str, *, level: int = logging.INFO, **fields: Any) -> None:
-    """Log one event with its fields; a field of value None is left out."""
+    """Log an event with its fields; fields with the value None are left out."""
     if level > logging.get_verbosity():
         return
     present = {key: value for key, value in fields.items() if value is not None}
     if level <= logging.ERROR:
         present["is_error"] = True
-    happening = Happening(time.monotonic(), event, present)
-    event_log.log([happening], is_urgent=level <= logging.ERROR)
+    record = LogEvent(time.monotonic(), event, present)
+    event_log.log([record], is_urgent=level <= logging.ERROR)
 
 
 def setup_logging(
     verbosity: int = logging.INFO, budget: LineBudget | None = None, host: str = ""
 ) -> None:
-    """Send logs to standard error from the level verbosity on, within a budget."""
+    """Write logs of at least this verbosity to standard error, within a budget."""
     logging.use_absl_handler()
     logging.get_absl_handler().python_handler.stream = sys.stderr
     logging.set_verbosity(verbosity)
--- a/libraries/core/tarragonward_core/metrics.py
+++ b/libraries/core/tarragonward_core/metrics.py
@@ -1,4 +1,4 @@
-"""Keep bounded histograms, counters and gauges."""
+"""Keep a bounded number of histograms, counters and gauges."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 3_600_000_000
-# One digit took 3.5 KB a histogram and two digits 17 KB; one is enough to alarm on.
+# A histogram takes 3.5 KB with one digit, 17 KB with two; one suffices for alerts.
 SIGNIFICANT_DIGITS = 1
 MAX_COUNTERS = 1_024
 MAX_HISTOGRAMS = 256
 OTHER_ACCOUNT = "other"
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 LENGTH_CLASSES = (
     (4_000, "to_4k"),
@@ -29,7 +29,7 @@
 
 
 def get_length_class(prompt_tokens: int) -> str:
-    """Return the name of the class that a prompt of this many tokens is in."""
+    """Return the name of the length class of a prompt."""
     for limit, name in LENGTH_CLASSES:
         if prompt_tokens <= limit:
             return name
@@ -37,11 +37,11 @@
 
 
 class Metrics:
-    """Histograms by (name, client account, length class), made when first used.
+    """Histograms by (name, client account, length class), counters and gauges.
 
-    Past the maximum a new client account is counted under "other": what one process
-    holds stays bounded however many accounts there are. Names, labels and length
-    classes must come from the code, never from a caller.
+    They are created on first use. Beyond the maximum, new client accounts are counted
+    as "other", so memory is bounded for any number of accounts. Names, labels and
+    length classes must come from the code, never from a caller.
     """
 
     def __init__(
@@ -58,11 +58,11 @@
         self._help: dict[str, str] = {}
 
     def set_help(self, name: str, text: str) -> None:
-        """Set the help text that scrapers show for a metric."""
+        """Set the help text of a metric."""
         self._help[name] = text
 
     def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Add a value that is read anew at each scrape."""
+        """Add a gauge whose value is read at each scrape."""
         self._gauges[name] = read
         self.set_help(name, text)
 
@@ -70,21 +70,21 @@
         self, name: str, seconds: float, account: str = "", length_class: str = ""
     ) -> None:
         """Record a duration in seconds."""
-        key = self._bound_histogram_key((name, account, length_class))
-        microseconds = int(seconds * MICROSECONDS)
+        key = self._get_bounded_key((name, account, length_class))
+        microseconds = int(seconds * MICROSECONDS_PER_SECOND)
         bounded = min(max(microseconds, LOWEST_MICROSECONDS), HIGHEST_MICROSECONDS)
         self._histograms[key].record_value(bounded)
         self._sums[key] += bounded
 
     def count(self, name: str, label: str = "", account: str = "", by: int = 1) -> None:
-        """Add to the counter name; label is what it is split by, such as a code."""
+        """Increment a counter; label is a dimension such as a result code."""
         key = (name, label, account)
         if key not in self._counters and len(self._counters) >= self._max_counters:
             key = (name, label, OTHER_ACCOUNT)
         self._counters[key] += by
 
     def get_count(self, name: str) -> int:
-        """Return the sum of a counter over its labels and accounts."""
+        """Return the sum of a counter over all labels and accounts."""
         return sum(
             n for (counter, _, _), n in self._counters.items() if counter == name
         )
@@ -92,24 +92,26 @@
     def get_quantile(
         self, name: str, quantile: float, account: str = "", length_class: str = ""
     ) -> float | None:
-        """Return a quantile in seconds, or None where nothing was recorded."""
+        """Return a quantile in seconds, or None if nothing was recorded."""
         histogram = self._histograms.get((name, account, length_class))
         if histogram is None:
             return None
-        return histogram.get_value_at_percentile(quantile * 100) / MICROSECONDS
+        return (
+            histogram.get_value_at_percentile(quantile * 100) / MICROSECONDS_PER_SECOND
+        )
 
     def iterate_counters(self) -> Iterator[tuple[str, str, str, int]]:
-        """Give the name, label, client account and value of each counter."""
+        """Yield the name, label, client account and value of each counter."""
         for (name, label, account), value in sorted(self._counters.items()):
             yield name, label, account, value
 
     def iterate_gauges(self) -> Iterator[tuple[str, float]]:
-        """Give the name and the value, as of now, of each gauge."""
+        """Yield the name and current value of each gauge."""
         for name in sorted(self._gauges):
             yield name, self._gauges[name]()
 
     def iterate_histograms(self) -> Iterator[tuple[HistogramKey, HdrHistogram, int]]:
-        """Give the key, the histogram and the sum in microseconds of each."""
+        """Yield the key, histogram and sum in microseconds of each histogram."""
         for key in sorted(self._histograms):
             yield key, self._histograms[key], self._sums[key]
 
@@ -118,14 +120,14 @@
         return self._help.get(name, name.replace("_", " "))
 
     def write_exposition(self) -> bytes:
-        """Return all values in the text exposition format."""
-        # The writer's library brings a web server and more, 3.5 MB of a host's 24.5
-        # (resident memory before and after its import). Few hosts are scraped.
+        """Return all metrics in the Prometheus text exposition format."""
+        # Imported on first use: prometheus_client brings a web server and takes 3.5 MB
+        # of a host's 24.5 MB of resident memory, and few hosts are scraped.
         from .exposition import write_exposition
 
         return write_exposition(self)
 
-    def _bound_histogram_key(self, key: HistogramKey) -> HistogramKey:
+    def _get_bounded_key(self, key: HistogramKey) -> HistogramKey:
         is_full = len(self._histograms) >= self._max_histograms
         if key not in self._histograms and is_full:
             key = (key[0], OTHER_ACCOUNT, key[2])
--- a/libraries/core/tests/test_background.py
+++ b/libraries/core/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Tests of the tasks that run as long as the host."""
+"""Tests for supervised background tasks."""
 
 import asyncio
 
@@ -6,19 +6,19 @@
 from tarragonward_core.background import BackgroundTasks
 
 
-async def test_a_loop_that_fails_runs_again_and_is_counted(monkeypatch):
-    """A target's report holds what nobody foresaw, and the reading task raises.
+async def test_a_failed_loop_is_restarted_and_counted(monkeypatch):
+    """A task that reads a target's load report raises on unexpected content.
 
-    Nobody awaits such a task: without supervision it is gone without a line in the
-    log, and the host goes on for days with the reports of that moment.
+    Nothing awaits such a task: without supervision it would end without a log line,
+    and the host would go on with stale reports.
     """
-    monkeypatch.setattr(background, "RESTART_SECONDS", 0.0)
+    monkeypatch.setattr(background, "RESTART_DELAY_SECONDS", 0.0)
     runs, metrics = [], Metrics()
 
     async def async_run():
         runs.append(len(runs))
         if len(runs) < 3:
-            raise AttributeError("not foreseen")
+            raise AttributeError("unexpected")
         await asyncio.Event().wait()
 
     tasks = BackgroundTasks(metrics)
@@ -31,7 +31,7 @@
     assert len(runs) == 3 and not tasks.names
 
 
-async def test_unloading_ends_a_task_that_waits_to_start_again():
+async def test_unload_cancels_a_task_that_waits_for_its_restart():
     async def async_run():
         raise RuntimeError("always")
 
--- a/libraries/core/tests/test_codes.py
+++ b/libraries/core/tests/test_codes.py
@@ -1,4 +1,4 @@
-"""Tests of the result codes."""
+"""Tests for the result codes."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 PAGE = Path(__file__).parents[3] / "docs" / "RESULT_CODES.md"
 
 
-def test_the_page_is_the_one_that_the_code_gives():
+def test_documentation_page_matches_the_codes():
     assert PAGE.read_text() == build_code_page(), "run script/result_codes"
 
 
@@ -16,7 +16,7 @@
     assert len(numbers) == len(set(numbers))
 
 
-def test_a_code_that_may_have_run_is_not_repeated_with_a_new_key():
+def test_unknown_outcomes_are_not_retried_with_a_new_key():
     for code in ResultCode:
         if code.conclusion is Conclusion.UNKNOWN:
             assert code.repeat is not Repeat.NEW_KEY
--- a/libraries/core/tests/test_logs.py
+++ b/libraries/core/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the one-line event logs."""
+"""Tests for the format of event log lines."""
 
 import re
 
@@ -11,7 +11,7 @@
 
 
 def read_pairs(line):
-    """Read a line as an operator's tools would; fail where anything is left over."""
+    """Parse a line as operators' tools do; fail if any part doesn't match."""
     pairs, position = [], 0
     while position < len(line):
         match = PAIR.match(line, position)
@@ -21,7 +21,7 @@
     return pairs
 
 
-def test_plain_values_stay_plain():
+def test_plain_values_are_not_quoted():
     assert format_event("started", number=3, name="entry-1") == (
         "event=started number=3 name=entry-1"
     )
@@ -38,9 +38,9 @@
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.text(), st.text(max_size=2000), st.binary())
 def test_any_value_stays_one_field_of_one_printable_line(first, second, third):
-    """A caller writes the log's own syntax into paths, models and headers.
+    """A caller puts log syntax into paths, model names or headers.
 
-    Whatever it sends, the line must read back as just the fields that were logged.
+    Whatever it sends, parsing the line must give exactly the fields that were logged.
     """
     line = format_event("refused", path=first, model=second, body=third)
     assert line.isprintable()
@@ -49,7 +49,7 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.text(max_size=200))
-def test_a_value_reads_back_as_it_was(value):
+def test_values_round_trip(value):
     (_, _), (_, found) = read_pairs(format_event("refused", path=value))
     if found.startswith('"'):
         found = re.sub(r'\\(["\\])', r"\1", found[1:-1])
--- a/libraries/core/tests/test_metrics.py
+++ b/libraries/core/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics, read back by a scraper's own parser."""
+"""Tests for the metrics, parsed with the parser of prometheus_client."""
 
 from prometheus_client.parser import text_string_to_metric_families
 
@@ -10,11 +10,11 @@
     return text, {f.name: f for f in text_string_to_metric_families(text)}
 
 
-def test_each_family_is_written_once_whatever_its_labels():
-    """A scraper drops a family whose TYPE line comes twice.
+def test_each_family_is_written_once_for_all_labels():
+    """Scrapers drop a family whose TYPE line is repeated.
 
-    Two accounts and two length classes are recorded under one name; the scraper must
-    see one family with the quantiles, count and sum of each.
+    Two accounts and two length classes are recorded under one name; the output must
+    have one family with the quantiles, count and sum of each.
     """
     metrics = Metrics()
     metrics.observe("time_to_first_token", 0.25, "shelfwise", "to_4k")
@@ -38,7 +38,7 @@
     assert families["tarragonward_requests_in_flight"].samples[0].value == 3
 
 
-def test_accounts_past_the_bound_share_one_series():
+def test_accounts_beyond_the_limit_share_one_series():
     metrics = Metrics(max_histograms=2, max_counters=2)
     for number in range(50):
         metrics.observe("time_to_first_token", 1.0, f"account-{number}", "to_4k")
--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -122,7 +122,7 @@
         self.peers.apply_settings()
         if event_log.budget is not None:
             bounds = self.state.settings.bounds
-            event_log.budget.lines_a_second = bounds.log_lines_per_second
+            event_log.budget.lines_per_second = bounds.log_lines_per_second
 
     async def _async_drain(self) -> None:
         """Finish the requests in progress within the grace time of the settings."""
--- a/libraries/gateway/tarragonward_gateway/observer.py
+++ b/libraries/gateway/tarragonward_gateway/observer.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from tarragonward_core import Happening, event_log, get_length_class
+from tarragonward_core import LogEvent, event_log, get_length_class
 from tarragonward_membership import RegisteredTarget
 from tarragonward_requests import (
     AbortConnection,
@@ -53,7 +53,7 @@
         self._request_id = request_id
         self._prompt_tokens = _read_prompt_tokens(tokens)
         self._loop = asyncio.get_running_loop()
-        self._events: list[Happening] = []
+        self._events: list[LogEvent] = []
         self._dropped_events = 0
         self._sends = 0
         self._target: RegisteredTarget | None = None
@@ -253,7 +253,7 @@
     def _append(self, at: float, event: str, **fields: Any) -> None:
         known = {key: value for key, value in fields.items() if value is not None}
         pairs = {"request_id": self._request_id, **known}
-        self._events.append(Happening(at, event, pairs))
+        self._events.append(LogEvent(at, event, pairs))
 
 
 def _describe_event(event: ExchangeEvent) -> str:
--- a/libraries/gateway/tarragonward_gateway/operators.py
+++ b/libraries/gateway/tarragonward_gateway/operators.py
@@ -99,7 +99,7 @@
     async def _async_report_dropped_lines(self) -> None:
         while True:
             await asyncio.sleep(DROPPED_LINES_REPORT_SECONDS)
-            event_log.say_dropped()
+            event_log.report_dropped()
 
     async def _async_handle(self, request: HttpRequest, responder: Responder) -> None:
         if request.path == c.ROUTE_METRICS:
--- a/libraries/gateway/tests/test_no_end.py
+++ b/libraries/gateway/tests/test_no_end.py
@@ -50,7 +50,7 @@
     The loop must continue, or the host would use its present table forever; and it must
     wait first, or it would query a faulty source as fast as it can.
     """
-    monkeypatch.setattr(background, "RESTART_SECONDS", 0.05)
+    monkeypatch.setattr(background, "RESTART_DELAY_SECONDS", 0.05)
     state, reader = make_state(), FaultyReader()
     task = PublicationTask(
         state, reader, None, Peers(state), lambda: PollingOrder(1, 0)
--- a/libraries/gateway/tests/test_operators.py
+++ b/libraries/gateway/tests/test_operators.py
@@ -81,7 +81,7 @@
 
 async def test_refusals_log_no_more_than_budget(make_site, lines):
     site = await make_site(answer_with())
-    event_log.budget = LineBudget(lines_a_second=0, burst=10)
+    event_log.budget = LineBudget(lines_per_second=0, burst=10)
     try:
         for _ in range(30):
             await site.async_ask(path="/other")
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -113,7 +113,7 @@
     Without probes a recovered target would stay ejected as long as others are left.
     """
     monkeypatch.setattr(c, "TARGET_PROBE_INTERVAL_SECONDS", 0.01)
-    monkeypatch.setattr(background, "RESTART_SECONDS", 0.02)
+    monkeypatch.setattr(background, "RESTART_DELAY_SECONDS", 0.02)
     host = ProberFixture([("a", CLOSED)])
     rounds = []
 
