--- a/libraries/gateway/tarragonward_gateway/const.py
+++ b/libraries/gateway/tarragonward_gateway/const.py
@@ -63,9 +63,13 @@
 READ_SILENCE_TIMEOUT_SECONDS = 1.5
 # An older paged read is restarted; the source keeps its change history for longer.
 MAX_PAGED_READ_AGE_SECONDS = 8.0
+# After a change the next query is delayed, so that it returns several changes; for
+# longer while changes follow each other within the window.
 CHANGE_DELAY_SECONDS = 0.1
 CHANGE_BURST_WINDOW_SECONDS = 1.0
 CHANGE_BURST_DELAY_SECONDS = 0.4
+# Exponential backoff after failed queries. Its maximum grows with the number of hosts
+# once this host has records, as the source limits the call rate of all hosts together.
 SOURCE_RETRY_FIRST_SECONDS = 0.05
 SOURCE_RETRY_MAX_SECONDS = 0.8
 SOURCE_RETRY_SECONDS_PER_HOST = 0.3
@@ -89,10 +93,15 @@
 MAX_AHEAD_PEERS = 16
 MAX_PULLS = 2
 PEER_PULL_TIMEOUT_SECONDS = 1.0
+# A peer's confirmation shows that the source is back only if it is later than this
+# host's last failure by more than this.
 HINT_MARGIN_SECONDS = 0.1
 # More than the minimum transit time of a datagram between two hosts.
 AGE_HOP_ALLOWANCE_SECONDS = 0.01
+# Hosts query a source that is back at random times within this.
 RECOVERY_SPREAD_SECONDS = 0.4
+# Failures for longer than this are an outage; for some time after it, withdrawals may
+# be records that expired during the outage.
 MIN_OUTAGE_SECONDS = 1.0
 AFTER_OUTAGE_SECONDS = 3.0
 # Without an answer to this host or to any known one for this long, the source is
@@ -130,8 +139,9 @@
 # A lost SYN is retransmitted only after a second or more, so a longer timeout gains
 # nothing; a target accepts a connection far sooner.
 CONNECT_TIMEOUT_SECONDS = 0.2
+# A connection ends if the target's host acknowledges nothing for this long.
 TARGET_UNREACHABLE_SECONDS = 2.5
-# How often the targets in doubt are checked for a probe that is due.
+# How often the ejected targets are checked for a probe that is due.
 TARGET_PROBE_INTERVAL_SECONDS = 0.1
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 NOT_READY_RETRY_SECONDS = 0.3
@@ -144,7 +154,9 @@
 # latency target.
 DRAINING_RETRY_SECONDS = 0.02
 ROUTE_UNSURE_RETRY_SECONDS = 0.3
+# A drain ends this long before the grace period does.
 DRAIN_MARGIN_SECONDS = 0.4
+# A balancer sends new connections to a draining host until it has checked it twice.
 BALANCER_NOTICE_SECONDS = 3.0
 RESERVATION_CALL_TIMEOUT_SECONDS = 0.4
 # Of the time within which the memory of a dead host's reservations must be free.
@@ -204,4 +216,6 @@
 OVERDUE_MAX_MOVE_SHARE = 0.8
 # Planning visits every candidate engine; with more of them it would stall the host.
 MAX_CROSS_CELL_ENGINES = 256
+# A silent target is abandoned only if the time limit leaves this much more than the
+# predicted time of the first event.
 SILENCE_MIN_REMAINING_SECONDS = 0.3
--- a/libraries/gateway/tests/test_moving.py
+++ b/libraries/gateway/tests/test_moving.py
@@ -94,12 +94,12 @@
     async def script(request, writer):
         asked.append(request)
 
-        def read_everywhere():
+        def report_prefill_everywhere():
             entry = [0, 0, 1, 0, 0, 300, [], [[300, 3_000, 200]]]
             digest = {target.id: entry for target in site.targets}
             site.chooser.apply_digest("peer", digest, 0.0)
 
-        await begin_stream(read_everywhere)(request, writer)
+        await begin_stream(report_prefill_everywhere)(request, writer)
 
     site = await make_engines(
         script, script, pause_aim_seconds=0.2, timeout_seconds=0.6
@@ -238,11 +238,11 @@
             await stream_events([4, 5])(request, writer)
             return
 
-        def give_event_and_read():
+        def send_event_and_report_prefill():
             writer.write(build_chunk(build_event(3)))
             report_long_prefill(site, request.get("x-expected-target")[0], 2.0)
 
-        await begin_stream(give_event_and_read)(request, writer)
+        await begin_stream(send_event_and_report_prefill)(request, writer)
 
     site = await make_engines(
         script, script, pause_aim_seconds=0.4, timeout_seconds=4.0
--- a/libraries/gateway/tests/test_publications.py
+++ b/libraries/gateway/tests/test_publications.py
@@ -135,9 +135,9 @@
         yield async_start
 
 
-async def async_wait_for(is_met):
+async def async_wait_for(is_done):
     async with asyncio.timeout(10.0):
-        while not is_met():
+        while not is_done():
             await asyncio.sleep(0.01)
 
 
@@ -237,7 +237,7 @@
     assert state.registry.get("a").is_ready
 
 
-def build_whole(count, revision):
+def build_snapshot(count, revision):
     records = tuple(Record(f"t/{n}", n + 1, b"true") for n in range(count))
     return RecordBatch(records, revision, True)
 
@@ -250,7 +250,7 @@
     """
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
-    task.apply(build_whole(6, 10), 0)
+    task.apply(build_snapshot(6, 10), 0)
     task.apply(RecordBatch((), 20, True), 10)
     assert len(state.registry.get_ready("s")) == 6
     task.apply(RecordBatch((Record("t/0", 21, b"true"),), 21, False), 20)
@@ -266,7 +266,7 @@
     """
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
-    task.apply(build_whole(6, 10), 0)
+    task.apply(build_snapshot(6, 10), 0)
     task._follower._last_outage_at = read_clock()
     task.apply(RecordBatch((Record("t/0", 11, None),), 11, False), 10)
     assert len(state.registry.get_ready("s")) == 6
@@ -277,7 +277,7 @@
 async def test_single_withdrawn_target_is_removed_at_once(start):
     state, task = await start(FIRST, Source())
     await async_wait_for(lambda: state.table_confirmed_at > 0)
-    task.apply(build_whole(6, 10), 0)
+    task.apply(build_snapshot(6, 10), 0)
     task.apply(RecordBatch((Record("t/0", 11, None),), 11, False), 10)
     assert len(state.registry.get_ready("s")) == 5
 
