--- a/libraries/gateway/tarragonward_gateway/moving.py
+++ b/libraries/gateway/tarragonward_gateway/moving.py
@@ -60,7 +60,7 @@
         disconnects, although another engine could have processed it in time.
         """
         requirements = self._build_requirements()
-        if self._exchange.is_started or not self._may_move(requirements):
+        if self._exchange.is_streaming or not self._may_move(requirements):
             return False
         if not self._chooser.allows_cross_cell(requirements.service):
             return False
--- a/libraries/gateway/tarragonward_gateway/observer.py
+++ b/libraries/gateway/tarragonward_gateway/observer.py
@@ -124,10 +124,12 @@
             self._record("answer_started", target=target)
         if isinstance(effect, SendTo):
             reason = _describe_event(event)
-            resumes = effect.last_id is not None and self._first_event_at is not None
+            resumes = (
+                effect.last_event_id is not None and self._first_event_at is not None
+            )
             name = "request_resumed" if resumes else "request_repeated"
             self._state.metrics.count(name, reason)
-            self._record(name, reason=reason, after_event=effect.last_id)
+            self._record(name, reason=reason, after_event=effect.last_event_id)
         elif effect is not None:
             self._outcome = _describe_outcome(effect)
             self._record(
@@ -173,7 +175,7 @@
                 self._longest_pause_seconds, now - self._last_event_at
             )
         self._last_event_at = now
-        self._last_id = event.last_id
+        self._last_id = event.last_event_id
 
     def _record_ended(
         self, outcome: str, now: float, error: BaseException | None
--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -60,7 +60,7 @@
         to_previous_target: resend to the target that the stream came from, or else to
         the last one.
         """
-        leader = (self._exchange.is_started and self.abandoned) or self._leader
+        leader = (self._exchange.is_streaming and self.abandoned) or self._leader
         placement = await self._async_place(leader if to_previous_target else "")
         if placement is None and to_previous_target:
             self._exchange.count_unplaced_resend()
@@ -128,6 +128,6 @@
 
     def _compute_aim_at(self) -> float:
         """Return when the next event is due by the route's aim or pause aim."""
-        if self._exchange.is_started:
+        if self._exchange.is_streaming:
             return self._loop.time() + self._route.pause_aim_seconds
         return self._context.received_at + self._route.aim_seconds
--- a/libraries/gateway/tarragonward_gateway/run.py
+++ b/libraries/gateway/tarragonward_gateway/run.py
@@ -94,10 +94,10 @@
             ExchangePolicy(
                 may_run_again=self._route.may_run_again,
                 is_stream=self._route.kind is RequestKind.STREAM,
-                attempts=self._route.attempts,
+                max_sends=self._route.attempts,
                 deadline=context.deadline,
             ),
-            last_id=self._read_last_id(),
+            last_event_id=self._read_last_id(),
         )
         self._observer = RequestObserver(
             state,
@@ -151,11 +151,11 @@
 
     def _handle_event(self, event: ExchangeEvent) -> ExchangeEffect | None:
         now = self._loop.time()
-        service, is_started = self._context.service, self._exchange.is_started
+        service, is_streaming = self._context.service, self._exchange.is_streaming
         is_attempt_end = isinstance(event, (SendFailed, TargetAnswered))
         can_retry = is_attempt_end and (
             self._mover.is_moving
-            or self._state.can_retry(service, is_urgent=is_started)
+            or self._state.can_retry(service, is_urgent=is_streaming)
         )
         effect = self._exchange.handle(event, now, has_budget=can_retry)
         if isinstance(effect, SendTo) and effect.is_retry:
@@ -226,7 +226,7 @@
             self._log_send_failure(target, event, err)
         except StreamMovedError as err:
             self._placer.abandoned = target.id
-            if not self._exchange.is_started:
+            if not self._exchange.is_streaming:
                 self._chooser.probes.check_in_background(target)
             event = SendFailed(SendFault.MOVED)
             self._log_send_failure(target, event, err)
@@ -321,7 +321,7 @@
             # is gone. A silent engine may still be working and another one may refuse,
             # which would abort a stream that would have completed. Before the first
             # event the caller has nothing to lose.
-            if self._exchange.is_started:
+            if self._exchange.is_streaming:
                 return False
             now = self._loop.time()
             seconds_left = self._context.deadline - now
@@ -330,7 +330,7 @@
                 and seconds_left
                 > plan.first_event_seconds + c.SILENCE_MIN_REMAINING_SECONDS
                 and self._state.can_retry(
-                    self._context.service, is_urgent=self._exchange.is_started
+                    self._context.service, is_urgent=self._exchange.is_streaming
                 )
             )
             # Without an alternative, a request that waits at a busy engine would be
@@ -364,8 +364,8 @@
             set_by_host[names.account] = self._context.account.name
         if choice.helpers:
             set_by_host[names.helpers] = choice.helpers_header
-        if effect.last_id is not None:
-            set_by_host[names.last_event_id] = str(effect.last_id)
+        if effect.last_event_id is not None:
+            set_by_host[names.last_event_id] = str(effect.last_event_id)
         stripped = (names.caller_key, names.account, names.priority, names.helpers)
         return build_target_headers(self._request.raw_headers, set_by_host, stripped)
 
@@ -433,9 +433,9 @@
                     self._idle_timeout.resume()
         if splitter.has_partial_event:
             raise SpoiledAnswerError("event stream ended within an event")
-        if not self._exchange.is_started:
+        if not self._exchange.is_streaming:
             # A stream may be empty only if the caller already has its last event.
-            if self._exchange.last_id is None:
+            if self._exchange.last_event_id is None:
                 raise SpoiledAnswerError("event stream ended without an event")
             self._start_answer(stream)
         self._suspects.record_answered(self._identity)
@@ -455,17 +455,17 @@
         forwarded = []
         has_gap = False
         for event in events:
-            last_id = self._exchange.last_id
-            if event.event_id is not None and last_id is not None:
-                if event.event_id <= last_id:
+            last_event_id = self._exchange.last_event_id
+            if event.event_id is not None and last_event_id is not None:
+                if event.event_id <= last_event_id:
                     continue
-                has_gap = event.event_id != last_id + 1
+                has_gap = event.event_id != last_event_id + 1
                 if has_gap:
                     break
             forwarded.append(event.data)
             if event.event_id is not None:
                 self._handle_event(EventsGiven(event.event_id))
-        if forwarded and not self._exchange.is_started:
+        if forwarded and not self._exchange.is_streaming:
             self._start_answer(stream)
         # Events recorded as delivered must be sent before another target resumes the
         # stream after them.
--- a/libraries/requests/tarragonward_requests/exchange.py
+++ b/libraries/requests/tarragonward_requests/exchange.py
@@ -60,7 +60,7 @@
 
     may_run_again: bool
     is_stream: bool
-    attempts: int
+    max_sends: int
     deadline: float
 
 
@@ -104,7 +104,7 @@
 class EventsGiven:
     """The caller was sent the stream up to this event id."""
 
-    last_id: int
+    last_event_id: int
 
 
 @dataclass(frozen=True)
@@ -114,14 +114,14 @@
 
 @dataclass(frozen=True)
 class SendTo:
-    """Send the request to a target that has not had it; resume after event last_id.
+    """Send the request to a target that has not had it; resume after last_event_id.
 
     to_previous_target: send it to a target that has had it and is not at fault. This is
     the last target, which did not run the request, or the one that was abandoned while
     it was still working.
     """
 
-    last_id: int | None
+    last_event_id: int | None
     is_retry: bool
     delay_seconds: float = 0.0
     to_previous_target: bool = False
@@ -158,16 +158,19 @@
     no send can have run. After that, the outcome is reported as unknown.
     """
 
-    def __init__(self, policy: ExchangePolicy, last_id: int | None = None) -> None:
+    def __init__(
+        self, policy: ExchangePolicy, last_event_id: int | None = None
+    ) -> None:
         self.policy = policy
-        self.last_id = last_id
+        self.last_event_id = last_event_id
         self.sends = 0
         self._possible_runs = 0
         self._resends = 0
         self._has_abandoned = False
         # Whether a complete answer that is a target's failure is held during a retry.
         self.has_held_answer = False
-        self.is_started = False
+        # Whether the head of a streamed answer was sent to the caller.
+        self.is_streaming = False
         self.has_ended = False
 
     @property
@@ -177,7 +180,7 @@
 
     def start(self) -> SendTo:
         """Return the effect that starts the first send."""
-        return SendTo(self.last_id, is_retry=False)
+        return SendTo(self.last_event_id, is_retry=False)
 
     def record_sent(self) -> None:
         """Record that the first byte is about to be written to a target."""
@@ -199,7 +202,7 @@
         used up its sends; it would be aborted although the abandoned target still works
         on it. A stream whose target has failed has no target to go back to.
         """
-        is_out_of_sends = self.is_started and not self.can_send_again(now)
+        is_out_of_sends = self.is_streaming and not self.can_send_again(now)
         has_only_abandoned_target = is_out_of_sends and self._has_abandoned
         return refusal.is_helper_fault or has_only_abandoned_target
 
@@ -232,7 +235,7 @@
         among 18 engines. The send counts, so no third target follows, and a stream goes
         back only once.
         """
-        if not (self.is_started and self._has_abandoned) or self.can_send_again(now):
+        if not (self.is_streaming and self._has_abandoned) or self.can_send_again(now):
             return False
         self._has_abandoned = False
         return self.policy.deadline - now > c.MIN_SEND_SECONDS
@@ -256,13 +259,13 @@
         if self.may_have_run and not self.policy.may_run_again:
             return False
         has_time = self.policy.deadline - now > c.MIN_SEND_SECONDS
-        return has_time and self.sends < self.policy.attempts
+        return has_time and self.sends < self.policy.max_sends
 
     def choose_final_effect(
         self, retry_after_seconds: float | None = None
     ) -> ExchangeEffect:
         """Return the effect that ends a request for which no further send is made."""
-        if self.is_started:
+        if self.is_streaming:
             return AbortConnection()
         # A target answered with a failure and the retry produced no answer. The
         # target's own answer is complete and tells the caller more than "may have run",
@@ -297,14 +300,16 @@
             and has_budget
             and exchange.try_resend(now)
         ):
-            return SendTo(exchange.last_id, is_retry=True, to_previous_target=True)
+            return SendTo(
+                exchange.last_event_id, is_retry=True, to_previous_target=True
+            )
     is_lost = event.fault in (SendFault.LOST, SendFault.SPOILED)
     if is_lost and has_budget and exchange.try_abandoned_target(now):
-        return SendTo(exchange.last_id, is_retry=True, to_previous_target=True)
+        return SendTo(exchange.last_event_id, is_retry=True, to_previous_target=True)
     if event.fault is SendFault.NO_TARGET:
         return exchange.choose_final_effect(event.retry_after_seconds)
     if exchange.can_send_again(now) and (has_budget or not exchange.sends):
-        return SendTo(exchange.last_id, is_retry=exchange.sends > 0)
+        return SendTo(exchange.last_event_id, is_retry=exchange.sends > 0)
     return exchange.choose_final_effect(event.retry_after_seconds)
 
 
@@ -313,26 +318,26 @@
     event: TargetAnswered, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
     # A complete answer cannot follow the part of a stream that the caller already has.
-    is_failure = event.is_failure or exchange.is_started
+    is_failure = event.is_failure or exchange.is_streaming
     exchange.has_held_answer = True
     can_retry = is_failure and exchange.policy.may_run_again and has_budget
     if can_retry and exchange.can_send_again(now):
-        return SendTo(exchange.last_id, is_retry=True)
-    return AbortConnection() if exchange.is_started else ForwardAnswer()
+        return SendTo(exchange.last_event_id, is_retry=True)
+    return AbortConnection() if exchange.is_streaming else ForwardAnswer()
 
 
 @_handle.register
 def _(event: AnswerStarted, exchange: Exchange, now: float, has_budget: bool) -> None:
-    exchange.is_started = True
+    exchange.is_streaming = True
 
 
 @_handle.register
 def _(event: EventsGiven, exchange: Exchange, now: float, has_budget: bool) -> None:
-    previous = exchange.last_id
+    previous = exchange.last_event_id
     invariants.check(
-        previous is None or event.last_id > previous, "event_ids_only_grow"
+        previous is None or event.last_event_id > previous, "event_ids_only_grow"
     )
-    exchange.last_id = event.last_id
+    exchange.last_event_id = event.last_event_id
 
 
 @_handle.register
@@ -340,7 +345,7 @@
     event: TimeOver, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
     is_unknown = exchange.may_have_run and not exchange.has_held_answer
-    if is_unknown and not exchange.is_started:
+    if is_unknown and not exchange.is_streaming:
         return Refuse(ResultCode.FORWARD_TIMEOUT)
     return exchange.choose_final_effect()
 
@@ -349,7 +354,7 @@
 def _(
     event: Blamed, exchange: Exchange, now: float, has_budget: bool
 ) -> ExchangeEffect | None:
-    if exchange.is_started or exchange.has_held_answer:
+    if exchange.is_streaming or exchange.has_held_answer:
         return exchange.choose_final_effect()
     if exchange.may_have_run:
         return Refuse(ResultCode.FORWARD_CRASHED_TARGETS)
--- a/libraries/requests/tests/test_exchange.py
+++ b/libraries/requests/tests/test_exchange.py
@@ -69,10 +69,10 @@
         return self._stream(exchange, effect, now)
 
     def _stream(self, exchange, effect, now):
-        first = (effect.last_id or 0) + 1
+        first = (effect.last_event_id or 0) + 1
         stop = self.random.randint(first, STREAM_LENGTH + 1)
         for number in range(first, stop):
-            if not exchange.is_started:
+            if not exchange.is_streaming:
                 assert not self.has_head
                 exchange.handle(AnswerStarted(), now, True)
                 self.has_head = True
@@ -110,7 +110,7 @@
 def check(exchange, targets, effect):
     policy = exchange.policy
     assert exchange.has_ended
-    assert exchange.sends <= policy.attempts
+    assert exchange.sends <= policy.max_sends
     if not policy.may_run_again:
         assert targets.runs <= 1
     if isinstance(effect, Refuse):
@@ -205,7 +205,7 @@
     The leader gets the prompt again, a bounded number of times. After that each refusal
     counts, and no more than the two targets that the route allows are tried.
     """
-    policy = ExchangePolicy(True, True, attempts=2, deadline=DEADLINE)
+    policy = ExchangePolicy(True, True, max_sends=2, deadline=DEADLINE)
     exchange = Exchange(policy)
     refusal = SendFailed(SendFault.NOT_RUN, is_helper_fault=True)
     effects = []
@@ -229,7 +229,7 @@
     There is no target to return to, and a third one must not be tried. A stream that
     abandoned a working engine returns to that one.
     """
-    exchange = Exchange(ExchangePolicy(True, True, attempts=2, deadline=DEADLINE))
+    exchange = Exchange(ExchangePolicy(True, True, max_sends=2, deadline=DEADLINE))
     exchange.start()
     exchange.record_sent()
     exchange.handle(AnswerStarted(), 0.0, has_budget=True)
@@ -247,7 +247,7 @@
     The stream returns to the abandoned target, which was still working. If that fails
     as well, the route's two targets are used up, and no third target may be tried.
     """
-    exchange = Exchange(ExchangePolicy(True, True, attempts=2, deadline=DEADLINE))
+    exchange = Exchange(ExchangePolicy(True, True, max_sends=2, deadline=DEADLINE))
     exchange.start()
     exchange.record_sent()
     exchange.handle(AnswerStarted(), 0.1, has_budget=True)
