--- a/libraries/bench/tarragonward_bench/hearing/host.py
+++ b/libraries/bench/tarragonward_bench/hearing/host.py
@@ -221,7 +221,7 @@
         size = self._fleet.sizes.compute_read(answer.records)
         self._incoming = self._fleet.transfers.start(None, self.number, size, come)
         self._world.after(
-            wire_const.LONGEST_TRANSFER_SECONDS,
+            wire_const.MAX_TRANSFER_SECONDS,
             lambda: self._take_answer(call, Lost()),
         )
 
@@ -373,7 +373,7 @@
 
         size = fleet.sizes.compute_given(batch.records)
         transfer = fleet.transfers.start(self.number, asker.number, size, come)
-        self._world.after(wire_const.LONGEST_TRANSFER_SECONDS, give_up)
+        self._world.after(wire_const.MAX_TRANSFER_SECONDS, give_up)
 
     def _round(self) -> None:
         if not self._wake_at(self._round):
--- a/libraries/bench/tests/test_hearing_runs.py
+++ b/libraries/bench/tests/test_hearing_runs.py
@@ -132,7 +132,7 @@
     plan = replace(THIN, sizes=sizes, held_seconds=IN_FORCE_SECONDS, has_faults=False)
     for seed in (1, 2):
         run_hearing(seed, plan)
-    monkeypatch.setattr(wire_const, "LONGEST_TRANSFER_SECONDS", 1.0)
+    monkeypatch.setattr(wire_const, "MAX_TRANSFER_SECONDS", 1.0)
     for seed in (1, 2):
         with pytest.raises(AssertionError, match="lacks|confirmed .* ago"):
             run_hearing(seed, plan)
--- a/libraries/daemon/tarragonward_daemon/app.py
+++ b/libraries/daemon/tarragonward_daemon/app.py
@@ -65,8 +65,8 @@
             callers.async_handle,
             self._build_limits(),
             check_head=callers.check_head,
-            judge_refusal=callers.judge_refusal,
-            note_refused=callers.note_refused,
+            translate_refusal=callers.judge_refusal,
+            on_refused=callers.note_refused,
             bodies=BodyBudget(settings.limits.max_bodies_bytes),
         )
         host.metrics.add_gauge(
@@ -160,7 +160,7 @@
         await asyncio.sleep(c.BALANCER_NOTICE_SECONDS)
         self.host.is_admitting = False
         self.calls.start_drain()
-        self.callers.close_after_answers()
+        self.callers.disable_keep_alive()
         # Counted from its head on: a request whose body still comes in is refused by
         # number, not cut off.
         await self.callers.async_wait_idle()
--- a/libraries/daemon/tarragonward_daemon/callers.py
+++ b/libraries/daemon/tarragonward_daemon/callers.py
@@ -80,7 +80,7 @@
     async def async_handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answer one request."""
         context: CallerContext = request.context
-        responder.give_up_at = context.deadline
+        responder.write_deadline = context.deadline
         with ExitStack() as stack:
             self._host.enter_request()
             stack.callback(self._host.leave_request)
--- a/libraries/daemon/tarragonward_daemon/calls.py
+++ b/libraries/daemon/tarragonward_daemon/calls.py
@@ -194,7 +194,7 @@
         remaining = deadline - asyncio.get_running_loop().time()
         if remaining <= 0:
             return _reply_unknown()
-        answer = await self._links.async_ask_with_clock(
+        answer = await self._links.async_request_with_clock(
             key.owner.address,
             lambda offset: _build_forward(call, key, deadline + offset),
             remaining,
--- a/libraries/daemon/tarragonward_daemon/configuration.py
+++ b/libraries/daemon/tarragonward_daemon/configuration.py
@@ -275,7 +275,7 @@
             "GET",
             path,
             timeout=timeout,
-            silence_timeout=c.CONFIGURATION_READ_SECONDS,
+            inactivity_timeout=c.CONFIGURATION_READ_SECONDS,
         )
         if answer.status != 200:
             raise TargetError(f"{replica} answered {answer.status}")
--- a/libraries/daemon/tarragonward_daemon/configuration_peers.py
+++ b/libraries/daemon/tarragonward_daemon/configuration_peers.py
@@ -163,11 +163,11 @@
     async def _async_pull(self, address: Address) -> None:
         question = PullConfiguration(self._history.sequence, self._history.digest)
         try:
-            news = await self._links.async_ask(
+            news = await self._links.async_request(
                 address,
                 question,
                 c.CONFIGURATION_ASK_SECONDS,
-                silence_timeout=c.CONFIGURATION_ASK_SECONDS,
+                inactivity_timeout=c.CONFIGURATION_ASK_SECONDS,
             )
             if isinstance(news, ConfigurationNews):
                 self.take_news(news, str(address))
@@ -178,7 +178,7 @@
 
     async def _async_push(self, address: Address, news: ConfigurationNews) -> None:
         try:
-            await self._links.async_tell(address, news, c.CONFIGURATION_ASK_SECONDS)
+            await self._links.async_notify(address, news, c.CONFIGURATION_ASK_SECONDS)
         except TargetError as err:
             log_event("configuration_push_failed", peer=address, error=repr(err))
 
--- a/libraries/daemon/tarragonward_daemon/gossip.py
+++ b/libraries/daemon/tarragonward_daemon/gossip.py
@@ -121,7 +121,7 @@
 
     async def _async_ask(self, address: Address, message: Any, timeout: float) -> Any:
         try:
-            return await self._links.async_ask(address, message, timeout)
+            return await self._links.async_request(address, message, timeout)
         except (TargetError, FrameError):
             # After a cut, TCP sends again at growing intervals. Symptom: the peer
             # stays silent for as long again as the cut was. A new connection does
--- a/libraries/daemon/tarragonward_daemon/sweep.py
+++ b/libraries/daemon/tarragonward_daemon/sweep.py
@@ -14,7 +14,7 @@
     log_event,
 )
 from tarragonward_requests import HeldResource, OrphanSweep, OwnerStatus
-from tarragonward_wire import async_send_http, async_shake_hands
+from tarragonward_wire import async_handshake, async_send_http
 
 from . import const as c
 from .core import HostState
@@ -123,7 +123,7 @@
             return OwnerStatus.UNREACHABLE
         key = self._host.settings.peer_key
         try:
-            stream = await async_shake_hands(
+            stream = await async_handshake(
                 reader, writer, self._host.identity, key, is_client=True
             )
         except (OSError, EOFError, FrameError):
--- a/libraries/daemon/tests/test_configuration_peers.py
+++ b/libraries/daemon/tests/test_configuration_peers.py
@@ -75,7 +75,7 @@
     def __init__(self):
         self.asked = []
 
-    async def async_ask(self, address, message, timeout, silence_timeout):
+    async def async_request(self, address, message, timeout, inactivity_timeout):
         self.asked.append(address)
         await asyncio.sleep(0)
         raise ConnectionLostError("cut")
--- a/libraries/gateway/tarragonward_gateway/app.py
+++ b/libraries/gateway/tarragonward_gateway/app.py
@@ -129,7 +129,7 @@
         state = self.state
         state.is_draining = True
         self.peers.set_leaving()
-        self.callers.close_after_answers()
+        self.callers.disable_keep_alive()
         log_event("drain_started", in_flight=self.forwarder.in_flight)
         drain_timeout = state.settings.bounds.grace_seconds - c.DRAIN_MARGIN_SECONDS
         with suppress(TimeoutError):
@@ -137,7 +137,7 @@
                 # The balancer sends new connections until it has made two checks.
                 await asyncio.sleep(min(c.BALANCER_NOTICE_SECONDS, drain_timeout))
                 state.is_admitting = False
-                self.callers.close_idle()
+                self.callers.close_idle_connections()
                 await self.callers.async_wait_idle()
         log_event("drain_ended", in_flight=self.forwarder.in_flight)
 
--- a/libraries/gateway/tarragonward_gateway/ports.py
+++ b/libraries/gateway/tarragonward_gateway/ports.py
@@ -97,22 +97,22 @@
 class RecordReader(Protocol):
     """Reads published items; raises SourceError if the source does not answer.
 
-    silence_timeout is for how many seconds the source may send nothing, before its
+    inactivity_timeout is for how many seconds the source may send nothing, before its
     answer or within it; an answer that keeps arriving is not cut off.
     """
 
-    async def async_read_page(self, after: str, silence_timeout: float) -> Page:
+    async def async_read_page(self, after: str, inactivity_timeout: float) -> Page:
         """Return the items after a key, the first ones if the key is empty.
 
         Pages are no common snapshot: each has its own revision.
         """
 
     async def async_watch(
-        self, after: int, wait: float, silence_timeout: float
+        self, after: int, wait: float, inactivity_timeout: float
     ) -> Records:
         """Return the changes after a revision, or none after wait seconds.
 
-        The source may be silent for silence_timeout longer than the wait.
+        The source may be silent for inactivity_timeout longer than the wait.
         """
 
 
--- a/libraries/gateway/tarragonward_gateway/record_exchange.py
+++ b/libraries/gateway/tarragonward_gateway/record_exchange.py
@@ -124,7 +124,7 @@
         METHOD_GET,
         f"{c.RECORDS_PATH}?{PARAMETER_AFTER}={after}",
         timeout=c.PEER_PULL_TIMEOUT_SECONDS,
-        silence_timeout=c.PEER_PULL_TIMEOUT_SECONDS,
+        inactivity_timeout=c.PEER_PULL_TIMEOUT_SECONDS,
     )
     if answer.status != STATUS_OK or len(answer.body) > c.MAX_RECORDS_BYTES:
         raise TargetError(f"no usable records, status {answer.status}")
--- a/libraries/gateway/tests/test_app.py
+++ b/libraries/gateway/tests/test_app.py
@@ -51,7 +51,7 @@
     async def async_read_all(self, timeout):
         return Records((), 1)
 
-    async def async_watch(self, after, wait, silence_timeout):
+    async def async_watch(self, after, wait, inactivity_timeout):
         await asyncio.Event().wait()
 
 
--- a/libraries/gateway/tests/test_failures.py
+++ b/libraries/gateway/tests/test_failures.py
@@ -211,7 +211,7 @@
     asking = asyncio.ensure_future(site.async_ask("POST"))
     while not site.runs:
         await asyncio.sleep(0.01)
-    site.server.close_after_answers()
+    site.server.disable_keep_alive()
     site.state.is_admitting = False
     late = await site.async_ask("POST", request_id="late")
     assert late.status == 503
--- a/libraries/gateway/tests/test_no_end.py
+++ b/libraries/gateway/tests/test_no_end.py
@@ -27,12 +27,12 @@
     def __init__(self):
         self.asked = 0
 
-    async def async_read_page(self, after, silence_timeout):
+    async def async_read_page(self, after, inactivity_timeout):
         self.asked += 1
         raise AttributeError("not an answer")
 
-    async def async_watch(self, after, wait, silence_timeout):
-        return await self.async_read_page("", silence_timeout)
+    async def async_watch(self, after, wait, inactivity_timeout):
+        return await self.async_read_page("", inactivity_timeout)
 
 
 def make_state():
--- a/libraries/gateway/tests/test_publications.py
+++ b/libraries/gateway/tests/test_publications.py
@@ -71,14 +71,14 @@
         self.items[key] = Record(key, self.revision, value)
         self.changed.set()
 
-    async def async_read_page(self, after, silence_timeout):
+    async def async_read_page(self, after, inactivity_timeout):
         self.calls += 1
         if self.is_down:
             raise SourceError("down")
         await asyncio.sleep(self.transfer_seconds)
         return Page(tuple(self.items.values()), self.revision)
 
-    async def async_watch(self, after, wait, silence_timeout):
+    async def async_watch(self, after, wait, inactivity_timeout):
         self.calls += 1
         if self.is_down:
             raise SourceError("down")
--- a/libraries/wire/tarragonward_wire/__init__.py
+++ b/libraries/wire/tarragonward_wire/__init__.py
@@ -2,7 +2,7 @@
 
 from .body_budget import BodyBudget
 from .codec import decode_message, encode_message, register_message
-from .frames import BadFrame, FrameStream, RefusedFrameError, async_shake_hands
+from .frames import BadFrame, FrameStream, RefusedFrameError, async_handshake
 from .http_client import HttpAnswer, HttpStream, async_open_http, async_send_http
 from .http_messages import HttpHead, HttpLimits, HttpRequest, RawHeaders
 from .http_responder import Responder, build_error_body
@@ -27,7 +27,7 @@
     "Responder",
     "async_open_http",
     "async_send_http",
-    "async_shake_hands",
+    "async_handshake",
     "build_error_body",
     "decode_message",
     "encode_message",
--- a/libraries/wire/tarragonward_wire/answer_limit.py
+++ b/libraries/wire/tarragonward_wire/answer_limit.py
@@ -1,56 +1,57 @@
-"""Decide when an answer that is waited for is given up."""
+"""Limit the time that a client waits for an answer."""
 
 from __future__ import annotations
 
 import asyncio
 
-from .const import LONGEST_TRANSFER_SECONDS
+from .const import MAX_TRANSFER_SECONDS
 
-__all__ = ["AnswerLimit"]
+__all__ = ["AnswerDeadline"]
 
 
-class AnswerLimit:
-    """The time limit of one answer, which an answer that keeps coming puts off.
+class AnswerDeadline:
+    """The deadline of an answer, extended as long as the answer makes progress.
 
-    A large answer takes long over a thin link. Symptom of giving it up by its total
-    time: it is asked for again, is as long on its way, and never comes, while the link
-    is full of what is thrown away. A sender that died, or is cut off, is silent, so
-    silence is enough to give it up by; LONGEST_TRANSFER_SECONDS ends one that trickles.
-    Measured: a table of 1 MB over 10 Mbit/s with two pulls in flight is in force after
-    1.9 s (three runs); given up by its total time, 1 s, it never was within 10 s.
+    A large answer takes long over a slow link. With a fixed total timeout it would be
+    aborted and requested again without ever completing, while the discarded data
+    saturates the link: a table of 1 MB over 10 Mbit/s with two pulls in flight is
+    applied after 1.9 s, but with a total timeout of 1 s it was not within 10 s. A dead
+    or disconnected sender is silent, so inactivity is a sufficient criterion;
+    MAX_TRANSFER_SECONDS bounds a sender that only trickles.
 
-    timeout is for the answer's head; silence_timeout, in seconds too, is for each piece
-    from there on, None where the whole answer must come within timeout.
+    timeout is the limit for the answer's head, and inactivity_timeout the limit for
+    each piece of the body after it, both in seconds. Without an inactivity_timeout the
+    whole answer must arrive within timeout.
     """
 
-    def __init__(self, timeout: float, silence_timeout: float | None) -> None:
+    def __init__(self, timeout: float, inactivity_timeout: float | None) -> None:
         self._clock = asyncio.get_running_loop().time
-        self._begun_at = self._clock()
-        self._earliest_end = self._begun_at + timeout
-        self._silence_timeout = silence_timeout
+        self._started_at = self._clock()
+        self._min_deadline = self._started_at + timeout
+        self._inactivity_timeout = inactivity_timeout
         self._head_at: float | None = None
-        self.timer = asyncio.timeout_at(self._earliest_end)
+        self.timer = asyncio.timeout_at(self._min_deadline)
 
     @property
     def waited_seconds(self) -> float:
-        """Return the time since the request."""
-        return self._clock() - self._begun_at
+        """Return the seconds since the request was started."""
+        return self._clock() - self._started_at
 
     @property
     def transfer_seconds(self) -> float:
-        """Return the time since the answer's head."""
+        """Return the seconds since the answer's head arrived."""
         return 0.0 if self._head_at is None else self._clock() - self._head_at
 
-    def note_progress(self) -> None:
-        """Note that the head, or a piece of the body, came."""
+    def record_progress(self) -> None:
+        """Extend the deadline: the head or a piece of the body arrived."""
         now = self._clock()
         if self._head_at is None:
             self._head_at = now
-        # A link's reader notes for the tasks that wait. Symptom, where one's time runs
-        # out at that moment and its timer is put off: the reader fails, and with it
-        # all that wait at the link.
-        if self._silence_timeout is None or self.timer.expired():
+        # The reader of a link calls this for all pending requests. Rescheduling a timer
+        # that has just expired raises, which would end the reader and with it all
+        # pending requests of the link.
+        if self._inactivity_timeout is None or self.timer.expired():
             return
-        longest = self._head_at + LONGEST_TRANSFER_SECONDS
-        end = min(now + self._silence_timeout, longest)
-        self.timer.reschedule(max(end, self._earliest_end))
+        max_deadline = self._head_at + MAX_TRANSFER_SECONDS
+        deadline = min(now + self._inactivity_timeout, max_deadline)
+        self.timer.reschedule(max(deadline, self._min_deadline))
--- a/libraries/wire/tarragonward_wire/body_budget.py
+++ b/libraries/wire/tarragonward_wire/body_budget.py
@@ -1,4 +1,4 @@
-"""Bound the bytes of request bodies that one process holds at once."""
+"""Bound the total size of request bodies held by a process."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class BodyBudget:
-    """Count the bytes of bodies held, up to max_bytes, over all servers that share it.
+    """Reserve up to max_bytes for bodies, over all servers that share the budget.
 
-    Without it a few hundred callers with prompts of megabytes fill the host's memory,
-    and the kernel kills the process with all requests in progress. Bytes are reserved
-    before they are read, so the sum can't pass the bound whatever callers send.
+    Without a bound a few hundred callers with prompts of megabytes would exhaust the
+    host's memory, and the kernel would kill the process with all requests in progress.
+    Bytes are reserved before they are read, so the sum never exceeds the bound.
     """
 
     def __init__(self, max_bytes: int = DEFAULT_MAX_BODIES_BYTES) -> None:
@@ -20,12 +20,12 @@
         self.held_bytes = 0
 
     def reserve(self, size: int) -> bool:
-        """Reserve size bytes, or change nothing and return False."""
+        """Reserve size bytes, or return False if they would exceed the bound."""
         if self.held_bytes + size > self.max_bytes:
             return False
         self.held_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        """Give back bytes that were reserved."""
+        """Release reserved bytes."""
         self.held_bytes -= size
--- a/libraries/wire/tarragonward_wire/codec.py
+++ b/libraries/wire/tarragonward_wire/codec.py
@@ -1,4 +1,4 @@
-"""Turn typed messages into msgpack and back."""
+"""Encode and decode typed messages as msgpack."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def register_message(message_type: type[MessageT]) -> type[MessageT]:
-    """Let a frozen data class travel between hosts; use it as a decorator.
+    """Register a frozen data class as a message between hosts; a class decorator.
 
-    Fields are int, float, str, bytes, bool, tuple or dict; tuples and dicts hold the
-    same. Both ends must know the type by the same name and fields.
+    Fields, and the elements of tuples and dicts, are int, float, str, bytes, bool,
+    tuple or dict. Both ends must register the type with the same name and fields.
     """
     if not is_dataclass(message_type):
         raise TypeError(f"{message_type.__name__} is not a data class")
@@ -35,7 +35,7 @@
 
 
 def encode_message(message: Any) -> bytes:
-    """Return a registered message as bytes; raise FrameError for another type."""
+    """Encode a message; raise FrameError if its type is not registered."""
     name = type(message).__name__
     if _TYPES.get(name) is not type(message):
         raise FrameError(f"{name} is not a registered message")
@@ -44,24 +44,25 @@
 
 
 def decode_message(data: bytes) -> Any:
-    """Return the message that the bytes hold.
-
-    Raise FrameError for anything that encode_message cannot have made.
-    """
+    """Decode a message; raise FrameError if the data is not a valid message."""
     try:
         name, values = msgpack.unpackb(data, use_list=False, strict_map_key=False)
         message_type, field_types = _TYPES[name], _FIELD_TYPES[name]
     except (ValueError, TypeError, KeyError, msgpack.UnpackException) as err:
-        raise FrameError(f"not a message: {type(err).__name__}") from None
+        raise FrameError(
+            f"invalid or unregistered message: {type(err).__name__}"
+        ) from None
     if not isinstance(values, tuple) or len(values) != len(field_types):
-        raise FrameError(f"{name} has other fields here")
+        raise FrameError(f"{name} has a different number of fields here")
     for value, field_type in zip(values, field_types, strict=True):
-        if not _fits(value, field_type):
-            raise FrameError(f"{name}: {type(value).__name__} where not allowed")
+        if not _is_instance(value, field_type):
+            raise FrameError(
+                f"{name}: field has unexpected type {type(value).__name__}"
+            )
     return message_type(*values)
 
 
-def _fits(value: Any, field_type: type) -> bool:
+def _is_instance(value: Any, field_type: type) -> bool:
     if field_type is float:
         return isinstance(value, int | float) and not isinstance(value, bool)
     if field_type is int:
--- a/libraries/wire/tarragonward_wire/const.py
+++ b/libraries/wire/tarragonward_wire/const.py
@@ -1,4 +1,4 @@
-"""Hold the limits and names of both wire protocols."""
+"""Define the limits and defaults of the HTTP and peer protocols."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 DEFAULT_CONNECT_TIMEOUT_SECONDS = 1.0
 DEFAULT_HEAD_TIMEOUT_SECONDS = 10.0
 DEFAULT_IDLE_TIMEOUT_SECONDS = 75.0
-LONGEST_TRANSFER_SECONDS = 8.0
+MAX_TRANSFER_SECONDS = 8.0
 DEFAULT_MAX_BODIES_BYTES = 128 * 1024 * 1024
 DEFAULT_MAX_BODY_BYTES = 16 * 1024 * 1024
 DEFAULT_MAX_CONNECTIONS = 2_000
 DEFAULT_MAX_HEAD_BYTES = 32 * 1024
-# What the parser may hold of one head or chunk; the limit in force is checked apart.
+# The parser's buffer for one head or chunk; the configured limit is checked apart.
 MAX_PARSED_BYTES = 1024 * 1024
 DEFAULT_WRITE_TIMEOUT_SECONDS = 30.0
 
 DEFAULT_RETRY_AFTER_SECONDS = 1.0
-LINGER_SECONDS = 2.0
+LINGER_TIMEOUT_SECONDS = 2.0
 MAX_REFUSED_CONNECTIONS = 64
 READ_BYTES = 64 * 1024
 RECEIVE_BUFFER_BYTES = 256 * 1024
@@ -28,7 +28,7 @@
 KEEPALIVE_IDLE_SECONDS = 30
 KEEPALIVE_INTERVAL_SECONDS = 10
 KEEPALIVE_PROBES = 3
-# Probes of a connection that is to end after seconds of silence.
+# For connections that must end within seconds once the peer is unreachable.
 SHORT_KEEPALIVE_SECONDS = 1
 SHORT_KEEPALIVE_PROBES = 2
 MAX_FRAME_BYTES = 8 * 1024 * 1024
@@ -37,13 +37,13 @@
 PROTOCOL_VERSION = 2
 REPLAY_WINDOW_FRAMES = 16
 
-# Monotonic clocks of two hosts drift apart by no more than this, in s/s.
+# Upper bound on the drift between the monotonic clocks of two hosts, in s/s.
 CLOCK_DRIFT_ALLOWANCE = 0.0005
 CLOCK_MAX_AGE_SECONDS = 30.0
-LINK_RENEW_SECONDS = 1.0
-LINK_SILENCE_SECONDS = 5.0
-PROBE_SECONDS = 1.0
-MAX_HANDLERS_A_LINK = 256
+LINK_REPLACE_MIN_AGE_SECONDS = 1.0
+LINK_INACTIVITY_SECONDS = 5.0
+LINK_PROBE_TIMEOUT_SECONDS = 1.0
+MAX_HANDLERS_PER_LINK = 256
 MAX_LINKS_ACCEPTED = 1_024
-RECONNECT_FIRST_SECONDS = 0.1
-RECONNECT_MAX_SECONDS = 0.5
+RECONNECT_MIN_DELAY_SECONDS = 0.1
+RECONNECT_MAX_DELAY_SECONDS = 0.5
--- a/libraries/wire/tarragonward_wire/envelopes.py
+++ b/libraries/wire/tarragonward_wire/envelopes.py
@@ -1,4 +1,4 @@
-"""Define what messages between hosts travel in."""
+"""Define the envelopes of messages between hosts."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 @register_message
 @dataclass(frozen=True)
 class Envelope:
-    """One message on its way; number ties an answer to its question.
+    """A message in transit; number correlates an answer with its request.
 
-    An answer carries its question's number and is_answer; number 0 wants no answer.
-    clock is the sender's monotonic clock in seconds.
+    An answer has the number of its request, and is_answer set. Number 0 marks a
+    one-way message. clock is the sender's monotonic clock in seconds.
     """
 
     number: int
@@ -27,7 +27,7 @@
 @register_message
 @dataclass(frozen=True)
 class NoAnswer:
-    """Say that the handler had nothing to answer or failed."""
+    """The handler returned no answer, was too busy, or failed."""
 
     reason: str
 
@@ -35,4 +35,4 @@
 @register_message
 @dataclass(frozen=True)
 class ClockProbe:
-    """Ask for no more than the clock in the answer's envelope."""
+    """A request for the clock value in the answer's envelope only."""
--- a/libraries/wire/tarragonward_wire/frames.py
+++ b/libraries/wire/tarragonward_wire/frames.py
@@ -1,4 +1,4 @@
-"""Frame bytes between hosts with a length, a sequence number and a MAC."""
+"""Frame data between hosts with a length, a sequence number and a MAC."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     "BadFrame",
     "FrameStream",
     "RefusedFrameError",
-    "async_shake_hands",
+    "async_handshake",
     "count_bad_frame",
 ]
 
 
 class BadFrame(Enum):
-    """Why a frame was refused; the value is the label of the metric bad_frames."""
+    """Why a frame was refused; the value is a label of the metric bad_frames."""
 
     FORGED = "forged"
     MALFORMED = "malformed"
@@ -54,7 +54,7 @@
 
 
 class RefusedFrameError(FrameError):
-    """Refuse a frame for a reason that is counted."""
+    """A frame was refused for a reason that is counted."""
 
     def __init__(self, reason: BadFrame, detail: str) -> None:
         super().__init__(f"{reason.value}: {detail}")
@@ -62,13 +62,13 @@
 
 
 class WrongVersionError(RefusedFrameError):
-    """Refuse a peer that speaks another version of the protocol."""
+    """The peer uses another version of the protocol."""
 
     code = ResultCode.WRONG_VERSION
 
 
 def count_bad_frame(error: Exception, peer: object, metrics: Metrics) -> None:
-    """Count and log a refused frame; other errors are no business of this."""
+    """Count and log a refused frame; ignore errors other than FrameError."""
     if not isinstance(error, FrameError):
         return
     reason = getattr(error, "reason", BadFrame.MALFORMED)
@@ -83,11 +83,11 @@
 
 
 class FrameStream:
-    """Send and receive frames on one connection that has shaken hands.
+    """Send and receive frames on a connection after its handshake.
 
-    A frame is: length, MAC, payload. The MAC covers the direction, the frame's place
-    in its direction and the payload under a key that both nonces went into, so a
-    frame that is forged, changed, replayed or out of order is refused.
+    A frame is: length, MAC, payload. The MAC covers the direction, the sequence number
+    within the direction and the payload; its key is derived from the nonces of both
+    peers. Forged, modified, replayed or reordered frames are therefore refused.
     """
 
     def __init__(
@@ -107,17 +107,17 @@
         self._sent = 0
         self._received = 0
         self.peer = peer
-        # The peer's monotonic clock is at least this host's plus clock_offset.
+        # Lower bound: the peer's monotonic clock is at least this host's plus this.
         self.clock_offset = 0.0
         self.bytes_sent = 0
         self.bytes_received = 0
-        self.note_progress: Callable[[], None] = lambda: None
+        self.on_progress: Callable[[], None] = lambda: None
 
     async def async_send(self, payload: bytes) -> None:
-        """Send one frame; raise FrameError where it is too large."""
+        """Send a frame; raise FrameError if it is too large."""
         if len(payload) > MAX_FRAME_BYTES:
             raise RefusedFrameError(BadFrame.OVERSIZED, f"{len(payload)} bytes")
-        mac = self._sign(self._send_label, self._sent, payload)
+        mac = self._compute_mac(self._send_label, self._sent, payload)
         self._sent += 1
         length = len(payload).to_bytes(FRAME_LENGTH_BYTES, "big")
         self._writer.write(length + mac + payload)
@@ -128,7 +128,7 @@
         """Return the next payload.
 
         Raise FrameError for a bad frame, and ConnectionError or IncompleteReadError
-        where the connection ends.
+        when the connection ends.
         """
         head = await self._async_read(FRAME_LENGTH_BYTES + FRAME_MAC_BYTES, False)
         length = int.from_bytes(head[:FRAME_LENGTH_BYTES], "big")
@@ -136,19 +136,21 @@
             raise RefusedFrameError(BadFrame.OVERSIZED, f"{length} bytes")
         payload = await self._async_read(length, True)
         mac = head[FRAME_LENGTH_BYTES:]
-        if not self._is_signed(mac, self._received, payload):
-            raise RefusedFrameError(self._judge_bad_mac(mac, payload), "the MAC")
+        if not self._is_valid_mac(mac, self._received, payload):
+            raise RefusedFrameError(
+                self._classify_bad_mac(mac, payload), "MAC mismatch"
+            )
         self._received += 1
         self.bytes_received += len(head) + length
         return payload
 
     @property
     def is_closing(self) -> bool:
-        """Tell whether the connection was closed here or was seen to end."""
+        """Return whether the connection was closed by this host or has ended."""
         return self._writer.is_closing()
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Abort the connection, discarding unsent data."""
         self._writer.transport.abort()
 
     async def _async_read(self, size: int, is_within_frame: bool) -> bytes:
@@ -161,22 +163,22 @@
             if not piece:
                 raise asyncio.IncompleteReadError(b"", size)
             data += piece
-            self.note_progress()
+            self.on_progress()
         return bytes(data)
 
-    def _is_signed(self, mac: bytes, sequence: int, payload: bytes) -> bool:
-        expected = self._sign(self._receive_label, sequence, payload)
+    def _is_valid_mac(self, mac: bytes, sequence: int, payload: bytes) -> bool:
+        expected = self._compute_mac(self._receive_label, sequence, payload)
         return hmac.compare_digest(expected, mac)
 
-    def _judge_bad_mac(self, mac: bytes, payload: bytes) -> BadFrame:
+    def _classify_bad_mac(self, mac: bytes, payload: bytes) -> BadFrame:
         if self._received == 0:
             return BadFrame.WRONG_KEY
         earlier = range(max(0, self._received - REPLAY_WINDOW_FRAMES), self._received)
-        if any(self._is_signed(mac, sequence, payload) for sequence in earlier):
+        if any(self._is_valid_mac(mac, sequence, payload) for sequence in earlier):
             return BadFrame.REPLAYED
         return BadFrame.FORGED
 
-    def _sign(self, label: bytes, sequence: int, payload: bytes) -> bytes:
+    def _compute_mac(self, label: bytes, sequence: int, payload: bytes) -> bytes:
         digest = hmac.new(self._key, label + sequence.to_bytes(8, "big"), "sha256")
         digest.update(payload)
         return digest.digest()[:FRAME_MAC_BYTES]
@@ -198,54 +200,56 @@
             version, identity, nonce = msgpack.unpackb(body)
             hello = cls(version, HostIdentity.parse(identity), nonce)
         except (ValueError, TypeError, AttributeError, msgpack.UnpackException) as err:
-            raise RefusedFrameError(BadFrame.MALFORMED, "not a hello") from err
+            raise RefusedFrameError(BadFrame.MALFORMED, "invalid hello") from err
         if version != PROTOCOL_VERSION:
             detail = f"found {version!r}, expected {PROTOCOL_VERSION}"
             raise WrongVersionError(BadFrame.WRONG_VERSION, detail)
         if not isinstance(nonce, bytes) or len(nonce) != NONCE_BYTES:
-            raise RefusedFrameError(BadFrame.MALFORMED, "not a hello's nonce")
+            raise RefusedFrameError(BadFrame.MALFORMED, "invalid nonce in hello")
         return hello
 
 
-async def async_shake_hands(
+async def async_handshake(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     identity: HostIdentity,
     key: bytes,
     is_client: bool,
 ) -> FrameStream:
-    """Tell each other who is there, prove the shared key, and return the stream.
+    """Exchange identities, prove the shared key, and return the stream.
 
-    Raise FrameError where the peer speaks another version or has another key.
+    Raise FrameError if the peer uses another protocol version or another key.
     """
     try:
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_SECONDS):
-            return await _async_shake_hands(reader, writer, identity, key, is_client)
+            return await _async_handshake(reader, writer, identity, key, is_client)
     except TimeoutError as err:
-        raise RefusedFrameError(BadFrame.NO_HANDSHAKE, "not in time") from err
+        raise RefusedFrameError(BadFrame.NO_HANDSHAKE, "handshake timed out") from err
 
 
-async def _async_shake_hands(
+async def _async_handshake(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
     identity: HostIdentity,
     key: bytes,
     is_client: bool,
 ) -> FrameStream:
-    ours = _Hello(PROTOCOL_VERSION, identity, secrets.token_bytes(NONCE_BYTES)).pack()
-    writer.write(ours)
+    own_hello = _Hello(
+        PROTOCOL_VERSION, identity, secrets.token_bytes(NONCE_BYTES)
+    ).pack()
+    writer.write(own_hello)
     length = int.from_bytes(await reader.readexactly(FRAME_LENGTH_BYTES), "big")
     if length > MAX_HELLO_BYTES:
         raise RefusedFrameError(BadFrame.OVERSIZED, f"hello of {length} bytes")
     body = await reader.readexactly(length)
     hello = _Hello.unpack(body)
-    theirs = length.to_bytes(FRAME_LENGTH_BYTES, "big") + body
-    transcript = ours + theirs if is_client else theirs + ours
+    peer_hello = length.to_bytes(FRAME_LENGTH_BYTES, "big") + body
+    transcript = own_hello + peer_hello if is_client else peer_hello + own_hello
     session_key = hmac.new(key, transcript, hashlib.sha256).digest()
     stream = FrameStream(reader, writer, session_key, is_client, hello.identity)
-    # A frame each way proves the key before any message is acted on. It holds the
-    # sender's monotonic clock, so that time limits can travel as points of the
-    # receiver's clock: a message that the network holds back still ends in time.
+    # One frame in each direction proves the key before any message is handled. It has
+    # the sender's monotonic clock, so that deadlines can be sent as values of the
+    # receiver's clock: a message delayed by the network still ends in time.
     await stream.async_send(msgpack.packb(_now()))
     proof = await stream.async_receive()
     stream.clock_offset = _parse_clock(proof) - _now()
@@ -262,5 +266,5 @@
     except (ValueError, msgpack.UnpackException):
         clock = None
     if not isinstance(clock, float):
-        raise RefusedFrameError(BadFrame.MALFORMED, "the first frame is not the proof")
+        raise RefusedFrameError(BadFrame.MALFORMED, "first frame is not a clock value")
     return clock
--- a/libraries/wire/tarragonward_wire/http_client.py
+++ b/libraries/wire/tarragonward_wire/http_client.py
@@ -1,4 +1,4 @@
-"""Send HTTP/1.1 requests with h11, one connection for each request."""
+"""Send HTTP/1.1 requests with h11, with a new connection for each request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     TargetError,
 )
 
-from .answer_limit import AnswerLimit
+from .answer_limit import AnswerDeadline
 from .const import (
     DEFAULT_CONNECT_TIMEOUT_SECONDS,
     SHORT_KEEPALIVE_PROBES,
@@ -31,14 +31,14 @@
 __all__ = ["HttpAnswer", "HttpStream", "async_open_http", "async_send_http"]
 
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-MILLISECONDS = 1_000
+MILLISECONDS_PER_SECOND = 1_000
 
 
 @dataclass(frozen=True)
 class HttpAnswer:
-    """A whole answer; header names are in lower case.
+    """A complete answer; header names are in lower case.
 
-    transfer_seconds is how long the body took from the answer's head to its end.
+    transfer_seconds is the time from the answer's head to the end of its body.
     """
 
     status: int
@@ -47,7 +47,7 @@
     transfer_seconds: float = 0.0
 
     def parse_json(self) -> Any:
-        """Return the body's JSON; raise TargetError where it is not valid."""
+        """Return the body's JSON; raise TargetError if it is not valid."""
         try:
             return orjson.loads(self.body)
         except orjson.JSONDecodeError as err:
@@ -55,7 +55,7 @@
 
 
 class HttpStream:
-    """An answer whose body is still coming."""
+    """An answer whose body is still being received."""
 
     def __init__(
         self,
@@ -69,17 +69,17 @@
         self.raw_headers: RawHeaders = ()
 
     @property
-    def has_surplus(self) -> bool:
-        """Return whether bytes came that belong to no answer."""
+    def has_trailing_data(self) -> bool:
+        """Return whether data was received after the end of the answer."""
         return bool(self._h11.trailing_data[0])
 
     async def async_read_head(self) -> None:
-        """Read the status and the headers."""
+        """Read the status line and the headers."""
         event = await self._async_next_event()
         while isinstance(event, h11.InformationalResponse):
             event = await self._async_next_event()
         if not isinstance(event, h11.Response):
-            raise ConnectionLostError("closed before the answer")
+            raise ConnectionLostError("connection closed before the answer")
         self.status = event.status_code
         self.headers = {
             name.decode("ascii"): value.decode("latin-1")
@@ -88,7 +88,7 @@
         self.raw_headers = tuple(event.headers.raw_items())
 
     async def async_iterate_chunks(self) -> AsyncIterator[bytes]:
-        """Give the body as it comes; raise ConnectionLostError if it is cut short."""
+        """Yield the body as it arrives; raise ConnectionLostError if truncated."""
         while True:
             event = await self._async_next_event()
             if isinstance(event, h11.Data):
@@ -96,10 +96,12 @@
             elif isinstance(event, h11.EndOfMessage):
                 return
             else:
-                raise ConnectionLostError("closed within the answer")
+                raise ConnectionLostError(
+                    "connection closed before the end of the answer"
+                )
 
     async def async_iterate_lines(self) -> AsyncIterator[bytes]:
-        """Give the body line by line, without line ends."""
+        """Yield the lines of the body without line endings."""
         rest = b""
         async for chunk in self.async_iterate_chunks():
             *lines, rest = (rest + chunk).split(b"\n")
@@ -109,7 +111,7 @@
             yield rest
 
     async def async_read_body(self, max_bytes: int = MAX_ANSWER_BYTES) -> bytes:
-        """Read the rest of the body; raise TargetError where it is too large."""
+        """Read the rest of the body; raise TargetError if it is too large."""
         body = bytearray()
         await self.async_read_into(body, max_bytes)
         return bytes(body)
@@ -118,18 +120,18 @@
         self,
         body: bytearray,
         max_bytes: int = MAX_ANSWER_BYTES,
-        note_progress: Callable[[], None] = lambda: None,
+        on_progress: Callable[[], None] = lambda: None,
     ) -> None:
-        """Add the rest of the body to what is there, which a cut leaves as it is.
+        """Append the rest of the body; a lost connection leaves what was received.
 
-        note_progress runs at the head, and after each piece of the body.
+        on_progress is called once at the start, and after each piece of the body.
         """
-        note_progress()
+        on_progress()
         async for chunk in self.async_iterate_chunks():
             body += chunk
             if len(body) > max_bytes:
-                raise TargetError("the answer is too large")
-            note_progress()
+                raise TargetError("the answer exceeds the size limit")
+            on_progress()
 
     async def _async_next_event(self) -> Any:
         try:
@@ -154,18 +156,19 @@
     before_write: Callable[[], None] | None = None,
     unreachable_timeout: float | None = None,
 ) -> AsyncIterator[HttpStream]:
-    """Send a request and give its answer as a stream; closed on every path.
+    """Send a request and yield its answer as a stream; always closes the connection.
 
-    Raw headers are sent as they are, with their host; a body without a length gets one.
-    A map of headers is completed with host and length.
+    Raw headers are sent unchanged, including the host; only a missing content-length is
+    added. A dict of headers is completed with host and content-length.
 
-    A peer whose host has not acknowledged anything for unreachable_timeout seconds ends
-    the connection, however long its answer may take; None leaves it to the kernel.
+    The connection ends if the peer's kernel acknowledges nothing for
+    unreachable_timeout seconds, however long the answer may take; None leaves this to
+    the kernel's defaults.
 
-    before_write runs right before the first byte is written, with no await between;
-    what it raises goes to the caller, and nothing was sent.
-    Raise NotConnectedError only where nothing can have been sent, and
-    ConnectionLostError where something may have been.
+    before_write is called immediately before the first byte is written, without an
+    await in between; if it raises, nothing was sent and the exception propagates.
+    Raise NotConnectedError only if nothing can have been sent, and ConnectionLostError
+    if something may have been.
     """
     connection = h11.Connection(h11.CLIENT)
     request = h11.Request(
@@ -182,17 +185,17 @@
         raise NotConnectedError(f"{address}: {reason}") from err
     try:
         if unreachable_timeout is not None:
-            _end_when_unreachable(transport, unreachable_timeout)
+            _set_unreachable_timeout(transport, unreachable_timeout)
         if before_write is not None:
             before_write()
-        # One write for head and body: one system call where the body is short.
+        # One write for head and body: a single system call for a short body.
         parts = [connection.send(request)]
         if body:
             parts.append(connection.send(h11.Data(data=body)))
         parts.append(connection.send(h11.EndOfMessage()))
         transport.write(b"".join(parts))
-        # The answer is read while the body still goes out: a target that refuses a
-        # long prompt at its head answers, and closes, before it has read it all.
+        # Read the answer while the body is still being sent: a target that refuses a
+        # long prompt by its head answers and closes before it has read the body.
         stream = HttpStream(connection, receiver)
         await stream.async_read_head()
         yield stream
@@ -200,17 +203,17 @@
         transport.abort()
 
 
-def _end_when_unreachable(transport: asyncio.Transport, timeout: float) -> None:
-    # A peer that lost its power, or is cut off, sends no reset. Symptom: the wait for
-    # an answer ends only with the request's own time. Its kernel answers probes while
-    # it lives, so the silence of a peer at work is not taken for its end.
+def _set_unreachable_timeout(transport: asyncio.Transport, timeout: float) -> None:
+    # A peer that lost power or network sends no reset, and the wait for its answer
+    # would end only with the request's time limit. The kernel of a live peer
+    # acknowledges keepalive probes, so a peer that is merely busy is not disconnected.
     connection = transport.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_KEEPIDLE, SHORT_KEEPALIVE_SECONDS),
         (socket.TCP_KEEPINTVL, SHORT_KEEPALIVE_SECONDS),
         (socket.TCP_KEEPCNT, SHORT_KEEPALIVE_PROBES),
-        (socket.TCP_USER_TIMEOUT, int(timeout * MILLISECONDS)),
+        (socket.TCP_USER_TIMEOUT, int(timeout * MILLISECONDS_PER_SECOND)),
     ):
         connection.setsockopt(socket.IPPROTO_TCP, option, value)
 
@@ -242,24 +245,24 @@
     headers: dict[str, str] | None = None,
     body: bytes = b"",
     timeout: float,
-    silence_timeout: float | None = None,
+    inactivity_timeout: float | None = None,
     connect_timeout: float = DEFAULT_CONNECT_TIMEOUT_SECONDS,
     before_write: Callable[[], None] | None = None,
 ) -> HttpAnswer:
-    """Send a request and return its whole answer within timeout seconds.
+    """Send a request and return the complete answer within timeout seconds.
 
-    With a silence_timeout an answer that began in time may take longer: it is given
-    up once nothing came for so many seconds, or LONGEST_TRANSFER_SECONDS after its
-    head.
+    With an inactivity_timeout an answer that began in time may take longer: it is
+    aborted when nothing arrives for that many seconds, or MAX_TRANSFER_SECONDS after
+    its head.
 
-    Raise NotConnectedError or ConnectionLostError as async_open_http does; running
-    out of time counts as ConnectionLostError.
+    Raise NotConnectedError or ConnectionLostError like async_open_http; a timeout
+    raises ConnectionLostError.
     """
-    limit = AnswerLimit(timeout, silence_timeout)
+    deadline = AnswerDeadline(timeout, inactivity_timeout)
     body_read = bytearray()
     try:
         async with (
-            limit.timer,
+            deadline.timer,
             async_open_http(
                 address,
                 method,
@@ -270,11 +273,16 @@
                 before_write=before_write,
             ) as stream,
         ):
-            await stream.async_read_into(body_read, note_progress=limit.note_progress)
+            await stream.async_read_into(
+                body_read, on_progress=deadline.record_progress
+            )
             return HttpAnswer(
-                stream.status, stream.headers, bytes(body_read), limit.transfer_seconds
+                stream.status,
+                stream.headers,
+                bytes(body_read),
+                deadline.transfer_seconds,
             )
     except TimeoutError as err:
-        waited = f"no answer in {limit.waited_seconds:.1f} s"
+        waited = f"no answer in {deadline.waited_seconds:.1f} s"
         reason = f"{waited}, {len(body_read)} bytes of it came"
         raise ConnectionLostError(f"{address}: {reason}") from err
--- a/libraries/wire/tarragonward_wire/http_connection.py
+++ b/libraries/wire/tarragonward_wire/http_connection.py
@@ -1,4 +1,4 @@
-"""Own one connection of an HTTP server: read a request, answer it, and so on."""
+"""Serve the requests of one connection of an HTTP server."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     new_request_id,
 )
 
-from .const import LINGER_SECONDS, MAX_PARSED_BYTES, READ_BYTES
+from .const import LINGER_TIMEOUT_SECONDS, MAX_PARSED_BYTES, READ_BYTES
 from .http_messages import HttpHead, HttpLimits, HttpRequest, measure_head, parse_head
 from .http_responder import Responder
 
@@ -31,21 +31,22 @@
 async def async_linger(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """Read and drop what a refused caller still sends, for a bounded time.
+    """Read and discard what a refused caller still sends (lingering close).
 
-    Closing with unread data makes the kernel reset the connection. Symptom: the
-    caller, still sending its body, sees a reset in place of the numbered error.
+    Closing a socket with unread data makes the kernel reset the connection: a caller
+    that is still sending its body would get a reset instead of the error response.
+    The time is bounded by LINGER_TIMEOUT_SECONDS.
     """
     if writer.can_write_eof():
         writer.write_eof()
     with suppress(TimeoutError):
-        async with asyncio.timeout(LINGER_SECONDS):
+        async with asyncio.timeout(LINGER_TIMEOUT_SECONDS):
             while await reader.read(READ_BYTES):
                 pass
 
 
 class HttpConnection:
-    """One socket, its h11 state, and the bytes of bodies held for it."""
+    """A connection: its streams, h11 state and reserved body bytes."""
 
     def __init__(
         self,
@@ -57,29 +58,30 @@
         self._reader = reader
         self._writer = writer
         self._held_bytes = 0
-        self._wait: asyncio.Timeout | None = None
+        self._idle_timer: asyncio.Timeout | None = None
         self._h11 = h11.Connection(
             h11.SERVER, max_incomplete_event_size=MAX_PARSED_BYTES
         )
 
     @property
     def _limits(self) -> HttpLimits:
-        """Return the limits in force, which may change while the connection is open."""
+        """Return the current limits; they may change while the connection is open."""
         return self._server.limits
 
     async def async_serve(self) -> None:
-        """Serve requests until either side closes."""
+        """Serve requests until either side closes the connection."""
         wait = self._limits.head_timeout
         while await self._async_serve_one(wait):
-            # On a closing server too, a kept connection is closed only by an answer
-            # that says so: a caller may be sending its next request just now.
+            # Even while the server shuts down, a persistent connection is closed only
+            # after a response with "connection: close": the caller may be sending its
+            # next request already.
             if self._h11.our_state is not h11.DONE:
                 return
             self._h11.start_next_cycle()
             wait = self._limits.idle_timeout
 
     async def async_refuse(self, code: ResultCode) -> None:
-        """Answer with an error before any request was read, and close."""
+        """Send an error before reading any request, and close the connection."""
         await self._build_responder().async_send_error(code, headers=CLOSE)
         await async_linger(self._reader, self._writer)
 
@@ -113,7 +115,7 @@
     async def _async_refuse(
         self, responder: Responder, error: RequestRefusedError
     ) -> None:
-        self._server.note_refused(responder.request_id, error.code)
+        self._server.on_refused(responder.request_id, error.code)
         if self._h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         await responder.async_send_error(
@@ -125,27 +127,27 @@
         await async_linger(self._reader, self._writer)
 
     async def _async_wait_for_bytes(self, wait: float) -> bool:
-        """Wait for a request to begin; return whether one did."""
+        """Wait for the start of a request; return whether one arrived."""
         if self._h11.trailing_data[0]:
             return True
         try:
-            async with asyncio.timeout(wait) as self._wait:
+            async with asyncio.timeout(wait) as self._idle_timer:
                 data = await self._reader.read(READ_BYTES)
         except TimeoutError:
-            data = await self._async_read_what_came()
+            data = await self._async_read_buffered()
         finally:
-            self._wait = None
+            self._idle_timer = None
         self._h11.receive_data(data)
         return bool(data)
 
-    def end_wait(self) -> None:
-        """Close the connection where it waits for a request to begin."""
-        if self._wait is not None:
-            self._wait.reschedule(asyncio.get_running_loop().time())
+    def close_if_idle(self) -> None:
+        """Close the connection if it is waiting for a request."""
+        if self._idle_timer is not None:
+            self._idle_timer.reschedule(asyncio.get_running_loop().time())
 
-    async def _async_read_what_came(self) -> bytes:
-        # A request may come at the very moment at which the wait ends. Symptom: the
-        # host has its bytes, and closes without an answer.
+    async def _async_read_buffered(self) -> bytes:
+        # A request may arrive just as the wait times out. Its data is buffered then,
+        # and closing the connection would leave it without an answer.
         with suppress(TimeoutError):
             async with asyncio.timeout(0):
                 return await self._reader.read(READ_BYTES)
@@ -154,12 +156,12 @@
     async def _async_read_and_handle(self, responder: Responder) -> bool:
         head = await self._async_read_head(responder.request_id)
         responder.method = head.method
-        with self._server.count_active():
+        with self._server.track_active_request():
             try:
                 context = self._check_head(head)
                 body = await self._async_read_body(head)
             except RequestRefusedError as err:
-                raise self._server.judge_refusal(head, err) from None
+                raise self._server.translate_refusal(head, err) from None
             request = HttpRequest(
                 method=head.method,
                 path=head.path,
@@ -171,12 +173,12 @@
                 target=head.target,
                 raw_headers=head.raw_headers,
             )
-            await self._async_handle_until_caller_leaves(request, responder)
+            await self._async_handle_until_disconnect(request, responder)
         return True
 
     def _check_head(self, head: HttpHead) -> Any:
-        # A fault in the check would end the connection's task. Symptom: the caller's
-        # connection is closed without an answer, and nothing says why.
+        # An unexpected exception in the check would end the connection's task: the
+        # connection would be closed without an answer or a log line.
         try:
             return self._server.check_head(head)
         except RequestRefusedError:
@@ -192,9 +194,9 @@
         except TimeoutError:
             raise RequestRefusedError(ResultCode.SLOW_SENDER) from None
         if not isinstance(event, h11.Request):
-            raise ConnectionResetError("the caller left")
-        # The limit in force may have changed since the connection was made, and a head
-        # that came in one read was never waited for.
+            raise ConnectionResetError("the caller disconnected")
+        # _check_head_size runs only before a wait for more data, so a head that arrived
+        # in a single read is checked here, against the current limit.
         if measure_head(event) > self._limits.max_head_bytes:
             raise RequestRefusedError(ResultCode.HEAD_TOO_LARGE)
         return parse_head(request_id, event)
@@ -222,12 +224,12 @@
             if isinstance(event, h11.EndOfMessage):
                 return bytes(body)
             if not isinstance(event, h11.Data):
-                raise ConnectionResetError("the caller left")
+                raise ConnectionResetError("the caller disconnected")
             body += event.data
             self._reserve(len(body) - self._held_bytes)
 
     def _reserve(self, size: int) -> None:
-        """Reserve size more bytes before they are read, or refuse the request."""
+        """Reserve size more body bytes before reading them, or refuse the request."""
         if size <= 0:
             return
         if self._held_bytes + size > self._limits.max_body_bytes:
@@ -248,36 +250,39 @@
             before_wait()
             self._h11.receive_data(await self._reader.read(READ_BYTES))
 
-    async def _async_handle_until_caller_leaves(
+    async def _async_handle_until_disconnect(
         self, request: HttpRequest, responder: Responder
     ) -> None:
-        # A caller that leaves must not go on using an engine. Symptom: memory held
-        # for an answer that nobody reads. The end of its stream cancels the handler,
-        # whose exit stacks release what it holds.
-        handling = asyncio.ensure_future(self._server.async_handle(request, responder))
-        watching = asyncio.ensure_future(self._async_watch_caller())
+        # A caller that disconnects must not keep an engine's memory in use for an
+        # answer that nobody reads. The end of its stream cancels the handler, whose
+        # exit stacks release its resources.
+        handler_task = asyncio.ensure_future(
+            self._server.async_handle(request, responder)
+        )
+        disconnect_task = asyncio.ensure_future(self._async_watch_disconnect())
         try:
             await asyncio.wait(
-                {handling, watching}, return_when=asyncio.FIRST_COMPLETED
+                {handler_task, disconnect_task}, return_when=asyncio.FIRST_COMPLETED
             )
-            if not handling.done():
-                handling.cancel()
+            if not handler_task.done():
+                handler_task.cancel()
                 with suppress(asyncio.CancelledError):
-                    await handling
-                raise ConnectionResetError("the caller left")
-            await handling
+                    await handler_task
+                raise ConnectionResetError("the caller disconnected")
+            await handler_task
         finally:
-            for task in (handling, watching):
+            for task in (handler_task, disconnect_task):
                 task.cancel()
-            await asyncio.gather(handling, watching, return_exceptions=True)
+            await asyncio.gather(handler_task, disconnect_task, return_exceptions=True)
 
-    async def _async_watch_caller(self) -> None:
-        """Return when the caller has closed; keep what it sends early."""
+    async def _async_watch_disconnect(self) -> None:
+        """Return when the caller disconnects; buffer data of pipelined requests."""
         while len(self._h11.trailing_data[0]) <= self._limits.max_head_bytes:
             data = await self._reader.read(READ_BYTES)
             if not data:
                 return
             self._h11.receive_data(data)
-        # A caller that pipelines a long prompt behind a request has not left. No more
-        # is read until its first answer is whole, so what is held stays bounded.
+        # A caller that pipelines a long prompt behind a request has not disconnected.
+        # Nothing more is read until the first answer is complete, which bounds the
+        # buffer.
         await asyncio.get_running_loop().create_future()
--- a/libraries/wire/tarragonward_wire/http_messages.py
+++ b/libraries/wire/tarragonward_wire/http_messages.py
@@ -1,4 +1,4 @@
-"""Hold the limits of an HTTP server and the requests that it reads."""
+"""Define HTTP requests and the limits of an HTTP server."""
 
 from __future__ import annotations
 
@@ -34,17 +34,18 @@
 Headers = dict[str, str]
 RawHeaders = tuple[tuple[bytes, bytes], ...]
 
-# Two spaces, the version and two line ends; a colon, a space and a line end.
+# Request line: two spaces, the HTTP version, its line ending and that of the head.
 LINE_EXTRA_BYTES = 14
+# Header line: a colon, a space and a line ending.
 HEADER_EXTRA_BYTES = 4
 
 
 @dataclass(frozen=True)
 class HttpLimits:
-    """What one server allows each connection; times in seconds, sizes in bytes.
+    """The limits of each connection; times in seconds, sizes in bytes.
 
-    Head and body must each be whole within their timeout, however steadily their
-    bytes come; idle_timeout is the wait for the next request on a kept connection.
+    head_timeout and body_timeout are total times, not times between reads.
+    idle_timeout is the wait for the next request on a persistent connection.
     """
 
     max_head_bytes: int = DEFAULT_MAX_HEAD_BYTES
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True)
 class HttpHead:
-    """A request before its body is read; header names are in lower case."""
+    """The head of a request; header names are in lower case."""
 
     request_id: str
     method: str
@@ -71,10 +72,10 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A whole request; context is what the server's check of the head returned.
+    """A complete request; context is the return value of the server's check_head.
 
-    target and raw_headers are as the caller sent them, for a host that passes the
-    request on unchanged.
+    target and raw_headers are as sent by the caller, for forwarding the request
+    unchanged.
     """
 
     method: str
@@ -89,7 +90,7 @@
 
 
 def measure_head(request: h11.Request) -> int:
-    """Return the bytes of a request's head, to within its spaces."""
+    """Return the size of a request's head in bytes, ignoring extra whitespace."""
     line = len(request.method) + len(request.target) + LINE_EXTRA_BYTES
     return line + sum(
         len(name) + len(value) + HEADER_EXTRA_BYTES
@@ -98,11 +99,11 @@
 
 
 def parse_head(request_id: str, request: h11.Request) -> HttpHead:
-    """Return the head of a request; raise RequestRefusedError where it is hostile."""
+    """Parse the head of a request; raise RequestRefusedError if it is ambiguous."""
     headers = _join_headers(request)
-    # A body framed in two ways is read differently by the proxies on its way.
-    # Symptom: the rest of one caller's body is taken for another caller's request.
-    # Refusing, with the connection closed, is enough: nothing after it is read.
+    # Proxies disagree on the length of a body with both headers, so the rest of one
+    # caller's body could be taken for another caller's request (request smuggling).
+    # The request is refused and its connection closed, so nothing after it is read.
     if "transfer-encoding" in headers and "content-length" in headers:
         raise RequestRefusedError(
             ResultCode.MALFORMED_HTTP, "Both content-length and transfer-encoding."
@@ -119,7 +120,7 @@
 
 
 def encode_headers(headers: Headers | RawHeaders) -> list[tuple[bytes, bytes]]:
-    """Return headers as they go out; values that came in as bytes go out the same."""
+    """Return encoded headers; raw headers are returned unchanged."""
     if not isinstance(headers, dict):
         return list(headers)
     return [
--- a/libraries/wire/tarragonward_wire/http_responder.py
+++ b/libraries/wire/tarragonward_wire/http_responder.py
@@ -1,4 +1,4 @@
-"""Write HTTP answers, with numbered errors, at the pace of their reader."""
+"""Write HTTP responses and numbered errors, with back-pressure from the reader."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 __all__ = ["Responder", "build_error_body", "compute_retry_after"]
 
 JSON_HEADERS = {"content-type": "application/json"}
-REPEATS_LATER = (Repeat.AFTER_DELAY, Repeat.NEW_KEY, Repeat.SAME_KEY)
+RETRYABLE_REPEATS = (Repeat.AFTER_DELAY, Repeat.NEW_KEY, Repeat.SAME_KEY)
 METHOD_HEAD = "HEAD"
-# Answers that never have a body. Source: RFC 9110, sections 15.3.5 and 15.4.5.
+# Responses without a body: RFC 9110, sections 15.3.5 and 15.4.5.
 BODILESS_STATUSES = (204, 304)
 
 
 def compute_retry_after(code: ResultCode, seconds: float | None) -> int | None:
-    """Return the whole seconds until a repeat makes sense, None where it makes none."""
-    if code.repeat not in REPEATS_LATER:
+    """Return the seconds to wait before a retry, None if the code allows no retry."""
+    if code.repeat not in RETRYABLE_REPEATS:
         return None
     wait = DEFAULT_RETRY_AFTER_SECONDS if seconds is None else seconds
     return max(1, round(wait))
@@ -37,7 +37,7 @@
     request_id: str = "",
     retry_after_seconds: float | None = None,
 ) -> dict[str, Any]:
-    """Return the JSON error that goes with a result code, as stock clients read it."""
+    """Return the JSON error of a result code, in the form that common clients read."""
     return {
         "error": {
             "code": code.number,
@@ -59,17 +59,17 @@
         return headers
     if isinstance(headers, dict):
         return {**headers, "content-length": str(length)}
-    # An answer to HEAD comes with the length of the body that it stands for.
+    # A response to HEAD has the length of the body that GET would return.
     if any(name.lower() == b"content-length" for name, _ in headers):
         return headers
     return (*headers, (b"content-length", str(length).encode("ascii")))
 
 
 class Responder:
-    """Write one answer; a slow reader holds its writer back, not memory.
+    """Write one response; a slow reader blocks the writer, so buffers stay bounded.
 
-    A reader that takes nothing for write_timeout seconds, or until give_up_at in the
-    loop's time, loses its connection.
+    If the reader takes nothing for write_timeout seconds, or until write_deadline (in
+    the event loop's time), its connection is aborted.
     """
 
     def __init__(
@@ -86,21 +86,21 @@
         self._unsent: list[bytes] = []
         self.request_id = ""
         self.method = ""
-        self.give_up_at: float | None = None
+        self.write_deadline: float | None = None
         self.is_started = False
         self.is_finished = False
 
     async def async_send_json(
         self, status: int, payload: Any, headers: Headers | None = None
     ) -> None:
-        """Send a whole JSON answer."""
+        """Send a complete JSON response."""
         body = orjson.dumps(payload)
         await self.async_send_bytes(status, body, {**JSON_HEADERS, **(headers or {})})
 
     async def async_send_bytes(
         self, status: int, body: bytes, headers: Headers | RawHeaders
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         self.start(status, _add_length(status, headers, len(body)))
         is_bodiless = self.method == METHOD_HEAD or status in BODILESS_STATUSES
         await self.async_finish(b"" if is_bodiless else body)
@@ -113,7 +113,7 @@
         retry_after_seconds: float | None = None,
         headers: Headers | None = None,
     ) -> None:
-        """Send a numbered error; a code that may be repeated says when."""
+        """Send a numbered error, with retry-after if the code allows a retry."""
         all_headers = {**(headers or {}), "x-result-code": str(code.number)}
         retry_after = compute_retry_after(code, retry_after_seconds)
         if retry_after is not None:
@@ -125,12 +125,12 @@
         await self.async_send_json(code.http_status, body, all_headers)
 
     async def async_start(self, status: int, headers: Headers | RawHeaders) -> None:
-        """Send the head; without a content-length the body goes in chunks."""
+        """Send the head; without a content-length the body is sent in chunks."""
         self.start(status, headers)
         self._flush()
 
     def start(self, status: int, headers: Headers | RawHeaders) -> None:
-        """Begin an answer whose head goes out together with what follows at once."""
+        """Start a response; its head is sent together with the data that follows."""
         self.is_started = True
         encoded = encode_headers(headers)
         if self._is_closing():
@@ -139,32 +139,32 @@
         self._add(response)
 
     async def async_send_chunk(self, data: bytes) -> None:
-        """Send a part of the body and wait until the reader has room."""
+        """Send a part of the body and wait until the write buffer has drained."""
         if not data:
             return
         self._add(h11.Data(data=data))
         self._flush()
-        await self._async_wait_for_room()
+        await self._async_drain()
 
     async def async_finish(self, data: bytes = b"") -> None:
-        """End the answer, with its last data where some is left."""
+        """Send the last part of the body, if any, and end the response."""
         if data:
             self._add(h11.Data(data=data))
         self._add(h11.EndOfMessage())
         self.is_finished = True
         self._flush()
-        await self._async_wait_for_room()
+        await self._async_drain()
 
-    async def _async_wait_for_room(self) -> None:
+    async def _async_drain(self) -> None:
         transport = self._writer.transport
         if transport.is_closing():
-            raise ConnectionResetError("the reader left")
+            raise ConnectionResetError("the reader disconnected")
         if transport.get_write_buffer_size() <= WRITE_BUFFER_BYTES:
             return
-        give_up_at = asyncio.get_running_loop().time() + self._write_timeout
-        if self.give_up_at is not None:
-            give_up_at = min(give_up_at, self.give_up_at)
-        async with asyncio.timeout_at(give_up_at):
+        write_deadline = asyncio.get_running_loop().time() + self._write_timeout
+        if self.write_deadline is not None:
+            write_deadline = min(write_deadline, self.write_deadline)
+        async with asyncio.timeout_at(write_deadline):
             await self._writer.drain()
 
     def _add(self, event: h11.Event) -> None:
@@ -173,8 +173,8 @@
             self._unsent.append(data)
 
     def _flush(self) -> None:
-        # One write, and so one system call and packet, for all that is ready: sends
-        # are the host's largest cost.
+        # A single write, and so a single system call and packet: sending is the largest
+        # part of a host's CPU time.
         unsent = self._unsent
         self._writer.write(unsent[0] if len(unsent) == 1 else b"".join(unsent))
         unsent.clear()
--- a/libraries/wire/tarragonward_wire/http_server.py
+++ b/libraries/wire/tarragonward_wire/http_server.py
@@ -1,4 +1,4 @@
-"""Serve HTTP/1.1 with h11, one task for each connection."""
+"""Serve HTTP/1.1 with h11, with one task for each connection."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 Handler = Callable[[HttpRequest, Responder], Awaitable[None]]
 HeadCheck = Callable[[HttpHead], Any]
-RefusalJudge = Callable[[HttpHead, RequestRefusedError], RequestRefusedError]
-RefusalNote = Callable[[str, ResultCode], None]
+RefusalTranslator = Callable[[HttpHead, RequestRefusedError], RequestRefusedError]
+RefusalCallback = Callable[[str, ResultCode], None]
 
 
 class HttpServer:
-    """Listen on an address and hand whole requests to a handler.
+    """Listen on an address and pass complete requests to a handler.
 
-    check_head sees a request before its body is read: it raises RequestRefusedError,
-    or returns what the handler gets as the request's context. judge_refusal turns a
-    refusal by a head or body into what its caller is told; note_refused is told the
-    request id and code of each request that never reached the handler.
+    check_head is called before a request's body is read: it raises RequestRefusedError
+    or returns the context of the request. translate_refusal maps a refusal caused by
+    the head or body to the error that is sent to the caller. on_refused is called with
+    the request id and code of each request that did not reach the handler.
     """
 
     def __init__(
@@ -41,8 +41,8 @@
         limits: HttpLimits | None = None,
         *,
         check_head: HeadCheck = lambda head: None,
-        judge_refusal: RefusalJudge = lambda head, error: error,
-        note_refused: RefusalNote | None = None,
+        translate_refusal: RefusalTranslator = lambda head, error: error,
+        on_refused: RefusalCallback | None = None,
         bodies: BodyBudget | None = None,
     ) -> None:
         self._address = address
@@ -51,26 +51,26 @@
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._refused: set[asyncio.Task[None]] = set()
-        self._open: set[HttpConnection] = set()
+        self._open_connections: set[HttpConnection] = set()
         self._idle = asyncio.Event()
         self._idle.set()
         self.check_head = check_head
-        self.judge_refusal = judge_refusal
-        self.note_refused = note_refused or _log_refused
+        self.translate_refusal = translate_refusal
+        self.on_refused = on_refused or _log_refused
         self.bodies = bodies or BodyBudget()
         self.active_requests = 0
         self.is_closing = False
 
     @property
     def address(self) -> Address:
-        """Return the address in use; the port is known only after setup."""
+        """Return the bound address; port 0 is resolved only after setup."""
         if self._server is None:
             return self._address
         host, port = self._server.sockets[0].getsockname()[:2]
         return Address(host, port)
 
     async def async_setup(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(
             self._async_accept,
             self._address.host,
@@ -79,33 +79,33 @@
             backlog=1024,
         )
 
-    def close_after_answers(self) -> None:
-        """End each connection after its answer; go on taking new ones.
+    def disable_keep_alive(self) -> None:
+        """Close each connection after its response; still accept new connections.
 
-        Closing the listening socket resets the connections that wait in its backlog.
-        Symptom: a caller's request is cut off while this host drains. So it listens
-        until nothing is in progress, and says "connection: close" in each answer.
+        Closing the listening socket resets the connections in its backlog, which would
+        cut off requests while this host drains. So the server keeps listening until
+        nothing is in progress, and sends "connection: close" in each response.
         """
         self.is_closing = True
 
     async def async_stop_listening(self) -> None:
-        """Take no new connection; those that are open end after their request."""
-        self.close_after_answers()
+        """Accept no new connections; open ones are closed after their request."""
+        self.disable_keep_alive()
         if self._server is not None:
             self._server.close()
 
     async def async_wait_idle(self) -> None:
-        """Wait until no request is being read or answered, and all answers are out."""
+        """Wait until no request is in progress and all responses are delivered."""
         while self.active_requests:
             await self._idle.wait()
 
-    def close_idle(self) -> None:
-        """Close the connections on which no request has begun."""
-        for connection in list(self._open):
-            connection.end_wait()
+    def close_idle_connections(self) -> None:
+        """Close the connections that are waiting for a request."""
+        for connection in list(self._open_connections):
+            connection.close_if_idle()
 
     async def async_unload(self) -> None:
-        """Stop to listen and end all connections."""
+        """Stop listening and cancel all connections."""
         await self.async_stop_listening()
         tasks = [*self._connections, *self._refused]
         for task in tasks:
@@ -113,8 +113,8 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     @contextmanager
-    def count_active(self) -> Iterator[None]:
-        """Count a request as active from its head to the end of its answer."""
+    def track_active_request(self) -> Iterator[None]:
+        """Count a request as active, from its head to the end of its response."""
         self.active_requests += 1
         self._idle.clear()
         try:
@@ -125,7 +125,7 @@
                 self._idle.set()
 
     async def async_handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Run the handler; a fault in it is answered and logged, not silent."""
+        """Run the handler; log its unexpected exceptions and respond with an error."""
         try:
             await self._handler(request, responder)
         except RequestRefusedError as err:
@@ -157,33 +157,33 @@
         group.add(task)
         writer.transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         connection = HttpConnection(self, reader, writer)
-        self._open.add(connection)
+        self._open_connections.add(connection)
         is_closed = False
         try:
             if is_full:
                 await connection.async_refuse(ResultCode.OVERLOADED)
             else:
                 await connection.async_serve()
-            # An answer is in progress until its reader has it. Symptom of ending the
-            # count before: a host that stops cuts the last answers of slow readers.
-            with self.count_active():
+            # A response is in progress until its reader has received it; otherwise a
+            # host that stops would cut off the last responses of slow readers.
+            with self.track_active_request():
                 await self._async_flush(writer)
             is_closed = True
         except (OSError, TimeoutError, h11.ProtocolError, asyncio.CancelledError):
             pass
         finally:
             group.discard(task)
-            self._open.discard(connection)
-            # A transport whose last bytes went out after it was closed raises where it
-            # is aborted. Symptom, with the abort before the place is given back: each
-            # such connection counts as open for good, until all callers are refused.
+            self._open_connections.discard(connection)
+            # abort() raises on a transport whose last data was sent after close(). The
+            # connection is therefore removed from the sets first; otherwise each such
+            # connection would count as open forever, until all callers are refused.
             if not is_closed:
                 writer.transport.abort()
 
     async def _async_flush(self, writer: asyncio.StreamWriter) -> None:
-        # A closed transport keeps its socket until its reader has taken all. Symptom:
-        # sockets of readers that take nothing pile up, counted by nobody. After the
-        # timeout the socket is aborted, so each costs one connection's place at most.
+        # A closed transport keeps its socket until the reader has received everything.
+        # Sockets of stalled readers would accumulate without being counted, so they
+        # stay counted as connections here and are aborted after the timeout.
         writer.close()
         async with asyncio.timeout(self.limits.write_timeout):
             await writer.wait_closed()
--- a/libraries/wire/tarragonward_wire/links.py
+++ b/libraries/wire/tarragonward_wire/links.py
@@ -1,4 +1,4 @@
-"""Keep outgoing links to other hosts and ask questions over them."""
+"""Keep outgoing links to other hosts and send requests over them."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 )
 
 from . import const as c
-from .answer_limit import AnswerLimit
+from .answer_limit import AnswerDeadline
 from .codec import decode_message, encode_message
 from .envelopes import ClockProbe, Envelope, NoAnswer
-from .frames import FrameStream, async_shake_hands, count_bad_frame
+from .frames import FrameStream, async_handshake, count_bad_frame
 
 __all__ = ["PeerLinks"]
 
@@ -32,17 +32,17 @@
 
 
 class _Link:
-    """Own one outgoing connection; a reader task gives out the answers."""
+    """An outgoing connection; a reader task dispatches the answers."""
 
     def __init__(self, stream: FrameStream, metrics: Metrics) -> None:
         self.stream = stream
         self._metrics = metrics
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[Any]] = {}
-        self._limits: set[AnswerLimit] = set()
-        self._offset = stream.clock_offset
-        self._heard_at = self._made_at = self._bytes_at = _now()
-        stream.note_progress = self._note_progress
+        self._pending: dict[int, asyncio.Future[Any]] = {}
+        self._deadlines: set[AnswerDeadline] = set()
+        self._clock_offset = stream.clock_offset
+        self._clock_received_at = self._opened_at = self._received_at = _now()
+        stream.on_progress = self._record_progress
         self._reader = asyncio.create_task(self._async_read())
 
     @property
@@ -51,61 +51,61 @@
 
     @property
     def age(self) -> float:
-        """Return for how many seconds the link has stood."""
-        return _now() - self._made_at
+        """Return the age of the link in seconds."""
+        return _now() - self._opened_at
 
-    def close_if_silent(self) -> None:
-        """Close a link on which a question went unanswered and nothing else came.
+    def close_if_inactive(self) -> None:
+        """Close the link if nothing arrived recently; called when a request failed.
 
-        A host whose machine is lost sends no end of the connection. Symptom: the link
-        stays open, and all is asked into the void until TCP gives up after minutes.
+        A host that lost power does not close its connections. Its link would stay open,
+        and all requests would time out until TCP gives up after minutes.
         """
-        if _now() - self._bytes_at > c.LINK_SILENCE_SECONDS:
+        if _now() - self._received_at > c.LINK_INACTIVITY_SECONDS:
             self.stream.close()
 
-    async def async_is_alive(self) -> bool:
-        """Tell whether the peer answers on a link that was idle; close it if not."""
-        if _now() - self._heard_at <= c.CLOCK_MAX_AGE_SECONDS:
+    async def async_check_alive(self) -> bool:
+        """Probe the peer if the link was idle; close the link if it does not answer."""
+        if _now() - self._clock_received_at <= c.CLOCK_MAX_AGE_SECONDS:
             return True
         try:
-            async with asyncio.timeout(c.PROBE_SECONDS):
-                await self.async_ask(encode_message(ClockProbe()))
+            async with asyncio.timeout(c.LINK_PROBE_TIMEOUT_SECONDS):
+                await self.async_request(encode_message(ClockProbe()))
         except (TimeoutError, ConnectionLostError):
             self.stream.close()
             return False
         return True
 
     def compute_clock_offset(self) -> float:
-        """Return what to add to this host's clock for a lower bound of the peer's."""
-        return self._decay_offset()
+        """Return the offset that gives a lower bound of the peer's clock."""
+        return self._compute_offset_bound()
 
-    def _note_progress(self) -> None:
-        self._bytes_at = _now()
-        for limit in self._limits:
-            limit.note_progress()
+    def _record_progress(self) -> None:
+        self._received_at = _now()
+        for deadline in self._deadlines:
+            deadline.record_progress()
 
     @contextmanager
-    def put_off(self, limit: AnswerLimit) -> Iterator[None]:
-        """Let what comes over the link put an answer's limit off."""
-        self._limits.add(limit)
+    def extend_on_progress(self, deadline: AnswerDeadline) -> Iterator[None]:
+        """Extend the deadline of an answer whenever data arrives on the link."""
+        self._deadlines.add(deadline)
         try:
             yield
         finally:
-            self._limits.discard(limit)
+            self._deadlines.discard(deadline)
 
-    async def async_ask(self, body: bytes) -> Any:
+    async def async_request(self, body: bytes) -> Any:
         number = next(self._numbers)
         future = asyncio.get_running_loop().create_future()
-        self._waiting[number] = future
+        self._pending[number] = future
         try:
             await self._async_send(number, body)
             if not self.is_open:
-                raise ConnectionLostError("the peer's link ended")
+                raise ConnectionLostError("the link to the peer was closed")
             return await future
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
-    async def async_tell(self, body: bytes) -> None:
+    async def async_notify(self, body: bytes) -> None:
         await self._async_send(0, body)
 
     async def async_unload(self) -> None:
@@ -121,9 +121,9 @@
             while True:
                 envelope = decode_message(await self.stream.async_receive())
                 if not isinstance(envelope, Envelope):
-                    raise FrameError("a message without its envelope")
-                self._take_clock(envelope.clock)
-                future = self._waiting.get(envelope.number)
+                    raise FrameError("message without an envelope")
+                self._update_clock_offset(envelope.clock)
+                future = self._pending.get(envelope.number)
                 if future is not None and not future.done():
                     future.set_result(decode_message(envelope.body))
         except RECEIVE_ERRORS as err:
@@ -131,35 +131,40 @@
             log_event("peer_link_ended", peer=self.stream.peer, error=repr(err))
         finally:
             self.stream.close()
-            for future in self._waiting.values():
+            for future in self._pending.values():
                 if not future.done():
-                    future.set_exception(ConnectionLostError("the peer's link ended"))
+                    future.set_exception(
+                        ConnectionLostError("the link to the peer was closed")
+                    )
 
-    def _take_clock(self, clock: float) -> None:
-        self._offset = max(self._decay_offset(), clock - _now())
-        self._heard_at = _now()
+    def _update_clock_offset(self, clock: float) -> None:
+        self._clock_offset = max(self._compute_offset_bound(), clock - _now())
+        self._clock_received_at = _now()
 
-    def _decay_offset(self) -> float:
-        return self._offset - c.CLOCK_DRIFT_ALLOWANCE * (_now() - self._heard_at)
+    def _compute_offset_bound(self) -> float:
+        return self._clock_offset - c.CLOCK_DRIFT_ALLOWANCE * (
+            _now() - self._clock_received_at
+        )
 
 
 @dataclass
 class _Backoff:
-    """When an address may be tried again after connections to it failed."""
+    """The exponential backoff of connection attempts to an address."""
 
     delay: float = 0.0
     retry_at: float = 0.0
 
     def fail(self) -> None:
-        """Wait longer before the next try, with jitter."""
+        """Increase the delay before the next attempt, with jitter."""
         self.delay = min(
-            max(self.delay * 2, c.RECONNECT_FIRST_SECONDS), c.RECONNECT_MAX_SECONDS
+            max(self.delay * 2, c.RECONNECT_MIN_DELAY_SECONDS),
+            c.RECONNECT_MAX_DELAY_SECONDS,
         )
         self.retry_at = _now() + self.delay * random.uniform(0.5, 1.0)
 
 
 class PeerLinks:
-    """Keep one link to each peer that is written to; made when first used."""
+    """Keep one link to each peer, created on first use."""
 
     def __init__(
         self, identity: HostIdentity, key: bytes, metrics: Metrics | None = None
@@ -171,78 +176,80 @@
         self._connecting: dict[Address, asyncio.Task[_Link]] = {}
         self._backoffs: dict[Address, _Backoff] = {}
 
-    async def async_ask(
+    async def async_request(
         self,
         address: Address,
         message: Any,
         timeout: float,
         incarnation: int | None = None,
-        silence_timeout: float | None = None,
+        inactivity_timeout: float | None = None,
     ) -> Any:
         """Send a message and return the peer's answer within timeout seconds.
 
-        With a silence_timeout an answer may take longer while the link brings bytes,
-        as AnswerLimit says.
+        With an inactivity_timeout an answer may take longer while data arrives on the
+        link; see AnswerDeadline.
 
-        Raise NotConnectedError where the message cannot have arrived: no connection,
-        or the host there has another incarnation than the one asked for. Raise
-        ConnectionLostError where it may have arrived.
+        Raise NotConnectedError if the message can't have arrived: there is no
+        connection, or the host at the address has another incarnation than the one
+        given. Raise ConnectionLostError if it may have arrived.
         """
-        return await self.async_ask_with_clock(
-            address, lambda _: message, timeout, incarnation, silence_timeout
+        return await self.async_request_with_clock(
+            address, lambda _: message, timeout, incarnation, inactivity_timeout
         )
 
-    async def async_ask_with_clock(
+    async def async_request_with_clock(
         self,
         address: Address,
         build: Callable[[float], Any],
         timeout: float,
         incarnation: int | None = None,
-        silence_timeout: float | None = None,
+        inactivity_timeout: float | None = None,
     ) -> Any:
-        """Ask as async_ask does; build makes the message from the clock offset.
+        """Like async_request, but build creates the message from the clock offset.
 
-        The peer's monotonic clock is at least this host's plus the offset, in
-        seconds, so a time limit given as a point of it is never a later one.
+        The peer's monotonic clock is at least this host's plus the offset, in seconds,
+        so a deadline converted to the peer's clock is never later than the original.
         """
         link = None
-        limit = AnswerLimit(timeout, silence_timeout)
+        deadline = AnswerDeadline(timeout, inactivity_timeout)
         try:
-            async with limit.timer:
+            async with deadline.timer:
                 link = await self._async_get_link(address, incarnation)
                 offset = link.compute_clock_offset()
-                with link.put_off(limit):
-                    answer = await link.async_ask(encode_message(build(offset)))
+                with link.extend_on_progress(deadline):
+                    answer = await link.async_request(encode_message(build(offset)))
         except (OSError, TimeoutError, FrameError) as err:
             if link is not None:
-                link.close_if_silent()
+                link.close_if_inactive()
             raise ConnectionLostError(f"{address}: {err!r}") from err
         if isinstance(answer, NoAnswer):
             raise ConnectionLostError(f"{address}: no answer: {answer.reason}")
         return answer
 
-    async def async_tell(self, address: Address, message: Any, timeout: float) -> None:
-        """Send a message that wants no answer; errors as for async_ask."""
+    async def async_notify(
+        self, address: Address, message: Any, timeout: float
+    ) -> None:
+        """Send a one-way message; errors as for async_request."""
         try:
             async with asyncio.timeout(timeout):
                 link = await self._async_get_link(address, None)
-                await link.async_tell(encode_message(message))
+                await link.async_notify(encode_message(message))
         except (OSError, TimeoutError, FrameError) as err:
             raise ConnectionLostError(f"{address}: {err!r}") from err
 
     def get_peer(self, address: Address) -> HostIdentity | None:
-        """Return who answers at an address, where there is a link to it."""
+        """Return the identity of the peer at an address, if there is an open link."""
         link = self._links.get(address)
         return link.stream.peer if link is not None and link.is_open else None
 
     async def async_drop(self, address: Address) -> None:
-        """End the link to one peer; the next message makes a new one."""
+        """Close the link to a peer; the next message opens a new one."""
         link = self._links.pop(address, None)
         if link is not None:
             await link.async_unload()
 
     async def async_unload(self) -> None:
-        """End all links."""
+        """Close all links."""
         connecting, self._connecting = list(self._connecting.values()), {}
         for task in connecting:
             task.cancel()
@@ -253,34 +260,34 @@
 
     async def _async_get_link(self, address: Address, incarnation: int | None) -> _Link:
         link = self._links.get(address)
-        if link is not None and not await self._async_is_usable(link, incarnation):
+        if link is not None and not await self._async_check_usable(link, incarnation):
             link = None
         if link is None:
             link = await asyncio.shield(self._start_connecting(address))
         if incarnation not in (None, link.stream.peer.incarnation):
-            raise NotConnectedError(f"{address} has another incarnation")
+            raise NotConnectedError(f"{address} has another incarnation than requested")
         return link
 
-    async def _async_is_usable(self, link: _Link, incarnation: int | None) -> bool:
-        """Tell whether to use a link that stands; another one is made if not."""
-        if not link.is_open or not await link.async_is_alive():
+    async def _async_check_usable(self, link: _Link, incarnation: int | None) -> bool:
+        """Return whether an existing link may be used; if not, a new one is opened."""
+        if not link.is_open or not await link.async_check_alive():
             return False
-        # The host may have been replaced without an end of the old link. Keys of dead
-        # hosts must not make a connection each, so a young link is believed.
-        is_other = incarnation not in (None, link.stream.peer.incarnation)
-        if is_other and link.age > c.LINK_RENEW_SECONDS:
+        # The host may have been replaced without the old link being closed. Requests
+        # for dead hosts must not open a connection each, so a recent link is trusted.
+        is_other_incarnation = incarnation not in (None, link.stream.peer.incarnation)
+        if is_other_incarnation and link.age > c.LINK_REPLACE_MIN_AGE_SECONDS:
             link.stream.close()
             return False
         return True
 
     def _start_connecting(self, address: Address) -> asyncio.Task[_Link]:
-        """Return the one attempt to connect that all who ask wait for.
+        """Return the connection attempt that all requests to the address share.
 
-        A thousand calls to an owner that died would else open a thousand connections,
-        or wait for a thousand attempts one after the other. Symptom: a storm when it
-        comes back, answers past their time limit. One attempt at a time, and a short
-        backoff before the next one that all who ask meanwhile wait for, is enough. To
-        fail them at once would tell a call "unknown" of a host that just came up.
+        Otherwise a thousand calls to a dead owner would open a thousand connections, a
+        storm when it restarts, or wait for a thousand attempts in sequence, past their
+        time limits. So there is one attempt at a time, with a short backoff before the
+        next. Requests wait for the backoff instead of failing at once, which would
+        report an unknown outcome for calls to a host that has just started.
         """
         task = self._connecting.get(address)
         if task is not None:
@@ -314,7 +321,7 @@
         with ExitStack() as stack:
             stack.callback(writer.transport.abort)
             try:
-                stream = await async_shake_hands(
+                stream = await async_handshake(
                     reader, writer, self._identity, self._key, is_client=True
                 )
             except RECEIVE_ERRORS as err:
--- a/libraries/wire/tarragonward_wire/peers.py
+++ b/libraries/wire/tarragonward_wire/peers.py
@@ -1,4 +1,4 @@
-"""Listen for other hosts and answer their messages."""
+"""Accept links of other hosts and answer their messages."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from . import const as c
 from .codec import decode_message, encode_message
 from .envelopes import ClockProbe, Envelope, NoAnswer
-from .frames import FrameStream, async_shake_hands, count_bad_frame
+from .frames import FrameStream, async_handshake, count_bad_frame
 
 __all__ = ["PeerServer"]
 
@@ -27,9 +27,9 @@
 
 
 class PeerServer:
-    """Listen for other hosts and hand their messages to a handler.
+    """Listen for other hosts and pass their messages to a handler.
 
-    listen is where to listen, if it is not the identity's own address.
+    listen is the address to listen on, by default that of the identity.
     """
 
     def __init__(
@@ -50,13 +50,13 @@
         self._links = 0
 
     async def async_setup(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(
             self._async_accept, self._listen.host, self._listen.port
         )
 
     async def async_unload(self) -> None:
-        """Stop to listen and end all links."""
+        """Stop listening and cancel all links."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -75,14 +75,14 @@
         self._links += 1
         enable_keepalive(writer)
         try:
-            stream = await async_shake_hands(
+            stream = await async_handshake(
                 reader, writer, self._identity, self._key, is_client=False
             )
             await self._async_serve(stream)
         except FrameError as err:
             count_bad_frame(err, writer.get_extra_info("peername"), self._metrics)
         except (OSError, EOFError, asyncio.CancelledError):
-            # The end of this connection's own task; asyncio would log a cancelled one.
+            # The task of this connection ends here; asyncio logs cancelled ones.
             pass
         finally:
             self._links -= 1
@@ -90,27 +90,27 @@
             writer.transport.abort()
 
     async def _async_serve(self, stream: FrameStream) -> None:
-        handling: set[asyncio.Task[None]] = set()
+        answering: set[asyncio.Task[None]] = set()
         try:
             while True:
                 envelope = decode_message(await stream.async_receive())
                 if not isinstance(envelope, Envelope):
-                    raise FrameError("a message without its envelope")
+                    raise FrameError("message without an envelope")
                 message = decode_message(envelope.body)
-                is_busy = len(handling) >= c.MAX_HANDLERS_A_LINK
+                is_busy = len(answering) >= c.MAX_HANDLERS_PER_LINK
                 task = asyncio.create_task(
                     self._async_answer(stream, envelope, message, is_busy)
                 )
-                # What wants no answer is handled to its end though the link has ended.
-                tasks = handling if envelope.number else self._tasks
+                # One-way messages are handled to completion even if the link ends.
+                tasks = answering if envelope.number else self._tasks
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
         finally:
-            # Nobody is left to read the answers. What must go on, such as a call that
-            # was sent to its target, runs in a task of its own.
-            for task in list(handling):
+            # The answers can no longer be delivered. Work that must continue, such as a
+            # call already sent to its target, runs in a task of its own.
+            for task in list(answering):
                 task.cancel()
-            await asyncio.gather(*handling, return_exceptions=True)
+            await asyncio.gather(*answering, return_exceptions=True)
 
     async def _async_answer(
         self, stream: FrameStream, envelope: Envelope, message: Any, is_busy: bool
@@ -128,8 +128,8 @@
     ) -> Any:
         if isinstance(message, ClockProbe):
             return NoAnswer("")
-        # Waiting for a free handler would hold up all that comes behind on the link.
-        # Symptom: slow calls of one account keep configuration and load from a host.
+        # Waiting for a free handler would block all later messages on the link: slow
+        # calls of one account would delay configuration and load reports.
         if is_busy:
             return NoAnswer("busy")
         try:
@@ -143,11 +143,11 @@
 
 
 def enable_keepalive(writer: asyncio.StreamWriter) -> None:
-    """Let the kernel end a connection whose far end has vanished.
+    """Enable TCP keepalive, which ends connections of hosts that disappeared.
 
-    A host that loses its power sends no end of stream. Symptom: its links stay open
-    until all that may be accepted are taken and live hosts are turned away. Probes of
-    the kernel end them within KEEPALIVE_IDLE_SECONDS and a few intervals.
+    A host that loses power does not close its connections. Its links would stay open
+    until MAX_LINKS_ACCEPTED is reached and live hosts are refused. The kernel's probes
+    end them after KEEPALIVE_IDLE_SECONDS and a few intervals.
     """
     connection = writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/libraries/wire/tarragonward_wire/receiver.py
+++ b/libraries/wire/tarragonward_wire/receiver.py
@@ -1,4 +1,4 @@
-"""Keep what a peer sent, however its connection ends."""
+"""Receive data so that it stays readable after the connection fails."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class Receiver(asyncio.Protocol):
-    """The receiving half of a client's connection.
+    """The receiving half of a client connection.
 
-    A stream reader drops its unread bytes once the connection has failed. Symptom: a
-    target that answers early and closes resets the rest of a long body, and the failed
-    write hides the answer that is already here. Giving all bytes before the error is
-    enough, as the kernel hands over what came before a reset.
+    asyncio.StreamReader discards unread data once the connection has failed. When a
+    target answers early and closes while a long body is still being sent, the failed
+    write would hide the answer that was already received. This class returns all data
+    before it raises the error; the kernel delivers what arrived before a reset.
     """
 
     def __init__(self) -> None:
@@ -26,31 +26,31 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport, to hold back a peer that sends faster than is read."""
+        """Keep the transport, to pause reading when the buffer is full."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Keep what came."""
+        """Buffer received data."""
         self._data += data
         if self._transport is not None and len(self._data) > RECEIVE_BUFFER_BYTES:
             self._transport.pause_reading()
         self._wake()
 
     def eof_received(self) -> bool:
-        """Note the end; what is still to be sent goes out."""
+        """Record the end of the stream; keep the sending half open."""
         self._has_ended = True
         self._wake()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note how the connection ended."""
+        """Record the end of the connection and its error."""
         self._has_ended = True
         self._error = exc
         self._wake()
 
     async def async_read(self) -> bytes:
-        """Return what came, or nothing at the end; raise OSError after a failure."""
+        """Return received data, b"" at the end; raise OSError after a failure."""
         if not self._data and not self._has_ended:
             self._waiter = asyncio.get_running_loop().create_future()
             try:
--- a/libraries/wire/tests/test_codec.py
+++ b/libraries/wire/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the messages between hosts."""
+"""Tests for encoding and decoding messages between hosts."""
 
 from dataclasses import dataclass
 
@@ -17,7 +17,7 @@
     parts: tuple[int, ...]
 
 
-def test_a_message_comes_back_the_same():
+def test_messages_round_trip():
     sample = Sample(1, "a", (1, 2))
     assert decode_message(encode_message(sample)) == sample
 
@@ -34,6 +34,6 @@
         msgpack.packb({"Sample": 1}),
     ],
 )
-def test_what_is_not_a_message_is_refused(data):
+def test_invalid_messages_are_refused(data):
     with pytest.raises(FrameError):
         decode_message(data)
--- a/libraries/wire/tests/test_http_client.py
+++ b/libraries/wire/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client's connections."""
+"""Tests for the connections of the HTTP client."""
 
 import asyncio
 import socket
@@ -7,17 +7,18 @@
 
 from tarragonward_core import Address, ConnectionLostError
 from tarragonward_wire import async_open_http, async_send_http
-from tarragonward_wire.http_client import _end_when_unreachable
+from tarragonward_wire.http_client import _set_unreachable_timeout
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole"
 
 
-async def test_a_connection_to_a_host_that_vanished_ends_by_itself():
-    """An engine's host loses its power while it reads a long prompt.
+async def test_connections_to_a_host_that_disappeared_are_ended():
+    """An engine's host loses power while it prefills a long prompt.
 
-    No end and no reset comes, and the memory held on its helpers would stay held until
-    the request's own time is over. The kernel's probes end the connection after one
-    idle second and two more without an answer; they need no answer of the engine's.
+    The connection gets neither an end nor a reset, and memory reserved on other engines
+    would stay reserved until the request's time limit. Keepalive probes end the
+    connection after one idle second and two unanswered probes; the engine itself need
+    not answer.
     """
 
     class Transport:
@@ -25,7 +26,7 @@
             return connection
 
     with socket.socket() as connection:
-        _end_when_unreachable(Transport(), 2.5)
+        _set_unreachable_timeout(Transport(), 2.5)
         assert connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
         for option, value in (
             (socket.TCP_KEEPIDLE, 1),
@@ -36,7 +37,7 @@
             assert connection.getsockopt(socket.IPPROTO_TCP, option) == value
 
 
-async def test_a_target_that_is_silent_but_there_is_waited_for():
+async def test_a_silent_but_reachable_target_is_not_disconnected():
     async def serve(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         await asyncio.sleep(4.0)
@@ -51,10 +52,10 @@
     server.close()
 
 
-async def test_an_answer_that_is_too_slow_tells_how_much_of_it_came():
-    """An answer comes in part and is given up: was its sender silent, or its link thin?
+async def test_a_timeout_error_names_the_bytes_received():
+    """An answer arrives in part before the timeout.
 
-    The error tells the two apart by the bytes that came.
+    The number of received bytes tells a silent sender from a slow link.
     """
 
     async def serve(reader, writer):
--- a/libraries/wire/tests/test_http_server.py
+++ b/libraries/wire/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP server's edges, over raw sockets."""
+"""Tests for edge cases of the HTTP server, over raw sockets."""
 
 import asyncio
 import gc
@@ -13,7 +13,7 @@
 from tarragonward_core import Address, RequestRefusedError, ResultCode
 from tarragonward_wire import BodyBudget, HttpLimits, HttpServer
 
-# More than small buffers of the kernel take, less than a server waits to have sent.
+# More than small kernel buffers hold, less than the server's write buffer limit.
 MUCH_BYTES = 60 * 1024
 SMALL_BUFFER_BYTES = 4096
 GET = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -93,7 +93,7 @@
         (post(10) + b"abc", ResultCode.SLOW_SENDER),
     ],
 )  # fmt: skip
-async def test_bad_input_gets_its_number_and_the_connection_closes(
+async def test_invalid_input_gets_its_code_and_closes_the_connection(
     make_server, data, code
 ):
     limits = HttpLimits(
@@ -106,10 +106,10 @@
     assert body["error"]["request_id"]
 
 
-async def test_dripping_bytes_do_not_hold_a_connection_for_good(make_server):
-    """A sender gives a byte each few milliseconds, so that each read succeeds.
+async def test_a_trickling_head_times_out(make_server):
+    """A sender sends a byte every few milliseconds, so that each read succeeds.
 
-    The time limit is for the whole head, not for each read: it is refused.
+    The timeout is for the whole head, not for each read, so the request is refused.
     """
     server = await make_server(limits=HttpLimits(head_timeout=0.3))
     caller = await Caller.async_open(server)
@@ -127,11 +127,13 @@
     assert headers["retry-after"] == "1"
 
 
-async def test_a_long_prompt_pipelined_behind_a_request_loses_neither(make_server):
-    """A client sends its next, long prompt before the first answer has come.
+async def test_a_pipelined_long_prompt_does_not_disturb_the_request_before_it(
+    make_server,
+):
+    """A client sends its next, long prompt before the first response.
 
-    The early bytes are more than the head's limit; they were once taken for a caller
-    that left, and the first answer was cut off. Both must be answered, in order.
+    The early data exceeds the head's size limit; this was once taken for a disconnect
+    and truncated the first response. Both must be answered, in order.
     """
     gate = asyncio.Event()
 
@@ -150,11 +152,11 @@
     caller.writer.close()
 
 
-async def test_a_refused_caller_that_is_still_sending_reads_its_error(make_server):
-    """A wrong token comes with a prompt of megabytes.
+async def test_a_refused_caller_that_is_still_sending_gets_its_error(make_server):
+    """A request with a wrong token has a prompt of megabytes.
 
-    It is refused at its head, and none of the body is held; the caller, which writes
-    all before it reads, must still see the number and not a reset connection.
+    It is refused by its head and the body is not kept. The caller, which sends the
+    whole body before it reads, must get the error and not a connection reset.
     """
 
     def refuse(head):
@@ -181,13 +183,13 @@
     assert server.bodies.held_bytes == 0
 
 
-async def test_bodies_past_the_process_bound_are_refused_before_they_are_read(
+async def test_bodies_beyond_the_budget_are_refused_before_they_are_read(
     make_server,
 ):
-    """Two callers send long prompts at once, and the second is over the bound.
+    """Two callers send long prompts at once, and the second exceeds the budget.
 
-    It is told to come back, before 100-continue and so before it sends the body; once
-    the first has its answer, there is room again.
+    It is told to retry later before 100-continue, and so before it sends its body.
+    Once the first is answered, its bytes are available again.
     """
     gate = asyncio.Event()
 
@@ -224,7 +226,7 @@
     caller.writer.close()
 
 
-async def test_too_many_connections_are_answered_not_dropped(make_server):
+async def test_excess_connections_get_an_error_response(make_server):
     server = await make_server(limits=HttpLimits(max_connections=1))
     first = await Caller.async_open(server)
     first.writer.write(GET)
@@ -236,20 +238,20 @@
 
 
 @pytest.mark.parametrize(("write_timeout", "time_limit"), [(0.5, 600), (600, 0.5)])
-async def test_a_reader_that_takes_nothing_costs_bounded_memory_and_time(
+async def test_a_stalled_reader_costs_bounded_memory_and_time(
     make_server, write_timeout, time_limit
 ):
-    """A phone asks for a long answer, loses its network, and never reads.
+    """A phone requests a long response, loses its network, and never reads.
 
-    The writer waits once buffers are full, so the handler stops producing; after the
-    write timeout, or the request's own time limit where that is earlier, the
-    connection is aborted and what the request held is free again.
+    Once the buffers are full, the writer blocks and the handler stops producing. After
+    the write timeout, or the request's time limit if that is earlier, the connection is
+    aborted and the request's resources are released.
     """
     produced = 0
 
     async def async_answer_without_end(request, responder):
         nonlocal produced
-        responder.give_up_at = asyncio.get_running_loop().time() + time_limit
+        responder.write_deadline = asyncio.get_running_loop().time() + time_limit
         await responder.async_start(200, {})
         while True:
             await responder.async_send_chunk(b"a" * 10_000)
@@ -271,14 +273,13 @@
     assert produced < 16_000_000
 
 
-async def test_an_answer_that_outlasts_its_connections_close_gives_its_place_back(
+async def test_connections_closed_with_unsent_data_are_removed_from_the_count(
     make_server,
 ):
-    """After some thousand large answers the host refuses all callers as too many.
+    """After thousands of large responses the host refuses all callers as too many.
 
-    The last bytes of an answer wait for a slow reader as the connection is closed, and
-    go out by themselves. The place of such a connection must be free again after that,
-    or each takes one for good.
+    The last bytes of a response are still unsent when the connection is closed, and are
+    sent by the transport later. Such connections must not be counted as open forever.
     """
 
     async def answer_much(request, responder):
@@ -294,7 +295,7 @@
 
 
 async def async_read_slowly(address):
-    """Return all that a connection brings to a reader of small portions."""
+    """Return all data of a response, read with a small receive buffer."""
     loop, answer = asyncio.get_running_loop(), bytearray()
     with socket.socket() as reader:
         reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
@@ -308,7 +309,9 @@
     return bytes(answer)
 
 
-async def test_head_requests_and_early_ends_leave_the_server_serving(make_server):
+async def test_head_requests_and_truncated_bodies_do_not_disturb_the_server(
+    make_server,
+):
     server = await make_server()
     caller = await Caller.async_open(server)
     caller.writer.write(b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -319,12 +322,12 @@
     assert (await async_ask(server, GET))[0] == 200
 
 
-async def test_answers_of_a_closing_server_end_their_connection(make_server):
+async def test_responses_after_disable_keep_alive_close_their_connection(make_server):
     server = await make_server()
     caller = await Caller.async_open(server)
     caller.writer.write(GET)
     assert "connection" not in (await caller.async_read_answer())[1]
-    server.close_after_answers()
+    server.disable_keep_alive()
     caller.writer.write(GET)
     assert (await caller.async_read_answer())[1]["connection"] == "close"
     assert await caller.reader.read() == b""
@@ -351,11 +354,11 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.lists(st.one_of(REQUEST_PARTS, st.binary(max_size=40)), max_size=8))
-def test_whatever_bytes_come_the_server_goes_on(parts):
-    """A scanner sends parts of requests, cut and joined at random, and hangs up.
+def test_the_server_survives_arbitrary_input(parts):
+    """A scanner sends fragments of requests, joined at random, and disconnects.
 
-    Each connection gets well-formed answers or is closed; no fault is left unread in
-    a task, and the next caller is served.
+    Each connection gets well-formed responses or is closed. No task ends with an
+    unretrieved exception, and the next caller is served.
     """
     faults = []
 
--- a/libraries/wire/tests/test_http_stop.py
+++ b/libraries/wire/tests/test_http_stop.py
@@ -1,4 +1,4 @@
-"""Tests of what callers see of a server that ends in order."""
+"""Tests for the graceful shutdown of the HTTP server, as seen by callers."""
 
 import asyncio
 import socket
@@ -31,11 +31,11 @@
     await responder.async_send_bytes(200, LONG, {})
 
 
-async def test_an_answer_that_its_reader_has_not_taken_holds_the_stop_back(make_server):
-    """A host stops while the last bytes of an answer wait for a slow reader.
+async def test_shutdown_waits_for_responses_that_are_not_yet_received(make_server):
+    """A host stops while the last bytes of a response wait for a slow reader.
 
-    The handler is done, as what is left fits the write buffer. Ending then would cut
-    the answer; the host counts it as in progress until the reader has it.
+    The handler has returned, as the rest fits the write buffer. Stopping now would
+    truncate the response, so it counts as in progress until the reader has it.
     """
     is_handled = asyncio.Event()
 
@@ -51,7 +51,7 @@
         await server.async_unload()
 
     server = await make_server(handler)
-    server.close_after_answers()
+    server.disable_keep_alive()
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16_384)
     sock.setblocking(False)
@@ -70,7 +70,9 @@
     assert body.endswith(b"\r\n0\r\n\r\n")
 
 
-async def test_idle_connections_are_closed_and_others_end_their_request(make_server):
+async def test_idle_connections_are_closed_and_busy_ones_finish_their_request(
+    make_server,
+):
     go_on = asyncio.Event()
 
     async def handler(request, responder):
@@ -87,8 +89,8 @@
     busy[1].write(GET.replace(b"/ ", b"/wait "))
     while not server.active_requests:
         await asyncio.sleep(0.01)
-    server.close_after_answers()
-    server.close_idle()
+    server.disable_keep_alive()
+    server.close_idle_connections()
     async with asyncio.timeout(10):
         assert await idle[0].read() == b""
         go_on.set()
@@ -98,8 +100,10 @@
     assert b"connection: close" in answer.lower()
 
 
-async def test_a_request_that_came_as_the_wait_ended_is_answered(make_server):
-    """The request's bytes are read in the same turn in which idle ones are closed."""
+async def test_a_request_that_arrives_as_its_connection_is_closed_is_answered(
+    make_server,
+):
+    """Its data is received in the event loop iteration that closes idle ones."""
     server = await make_server(answer_long)
     reader, writer = await asyncio.open_connection(
         server.address.host, server.address.port
@@ -108,9 +112,9 @@
     await reader.readexactly(10)
     await reader.readuntil(b"\r\n\r\n")
     await reader.readexactly(len(LONG))
-    (connection,) = server._open
+    (connection,) = server._open_connections
     connection._reader.feed_data(GET)
-    server.close_idle()
+    server.close_idle_connections()
     async with asyncio.timeout(10):
         await reader.readuntil(b"\r\n\r\n")
         await reader.readexactly(len(LONG))
--- a/libraries/wire/tests/test_peers.py
+++ b/libraries/wire/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of the links between hosts and of the frames that they refuse."""
+"""Tests for the links between hosts and for refused frames."""
 
 import asyncio
 import socket
@@ -19,7 +19,7 @@
 from tarragonward_wire import (
     PeerLinks,
     PeerServer,
-    async_shake_hands,
+    async_handshake,
     encode_message,
     register_message,
 )
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 async def server():
-    """Give a server's port, its metrics and what it was sent."""
+    """Yield the address of a server, its metrics and the messages it handled."""
     handled, metrics = [], Metrics()
 
     async def async_handle(peer, message):
@@ -55,12 +55,12 @@
 
 async def async_open_stream(address, key=KEY):
     reader, writer = await asyncio.open_connection(address.host, address.port)
-    stream = await async_shake_hands(reader, writer, CLIENT, key, is_client=True)
+    stream = await async_handshake(reader, writer, CLIENT, key, is_client=True)
     return reader, writer, stream
 
 
 def build_frame(stream, sequence, payload):
-    mac = stream._sign(b"client", sequence, payload)
+    mac = stream._compute_mac(b"client", sequence, payload)
     return len(payload).to_bytes(c.FRAME_LENGTH_BYTES, "big") + mac + payload
 
 
@@ -71,50 +71,55 @@
     assert f'label="{reason}"' in metrics.write_exposition().decode()
 
 
-async def test_a_question_is_answered_over_one_link(server):
+async def test_concurrent_requests_share_one_link(server):
     address, metrics, _ = server
     links = PeerLinks(CLIENT, KEY)
-    asks = [links.async_ask(address, Echo(str(n)), 5, 7) for n in range(50)]
+    asks = [links.async_request(address, Echo(str(n)), 5, 7) for n in range(50)]
     answers = await asyncio.gather(*asks)
     assert [answer.text for answer in answers] == [str(n) for n in range(50)]
     assert len(links._links) == 1
     await links.async_unload()
 
 
-async def test_a_large_answer_comes_over_a_thin_link(server):
-    """A host that was replaced waits for the configuration, and no peer gives it.
+async def test_a_large_answer_arrives_over_a_slow_link(server):
+    """A restarted host requests the configuration from a peer over a slow link.
 
-    The answer is on its way for a second and a half, and its time is one second. It is
-    given up while it comes, asked for again, and fills the link for nothing.
+    The transfer takes 1.5 s and the timeout is 1 s. With a fixed timeout the answer is
+    aborted during its transfer and requested again, and never completes.
     """
     text = "x" * 300_000
     link = FaultProxy(Address("127.0.0.1", 0), server[0])
     link.faults.bytes_a_second = len(text) / 1.5
     await link.async_setup()
-    impatient, patient = PeerLinks(CLIENT, KEY), PeerLinks(CLIENT, KEY)
+    fixed_timeout_links, inactivity_timeout_links = (
+        PeerLinks(CLIENT, KEY),
+        PeerLinks(CLIENT, KEY),
+    )
     with pytest.raises(ConnectionLostError):
-        await impatient.async_ask(link.address, Echo(text), 1.0)
-    await impatient.async_unload()
-    answer = await patient.async_ask(link.address, Echo(text), 1.0, silence_timeout=1.0)
+        await fixed_timeout_links.async_request(link.address, Echo(text), 1.0)
+    await fixed_timeout_links.async_unload()
+    answer = await inactivity_timeout_links.async_request(
+        link.address, Echo(text), 1.0, inactivity_timeout=1.0
+    )
     assert answer.text == text
-    await patient.async_unload()
+    await inactivity_timeout_links.async_unload()
     await link.async_unload()
 
 
-async def test_links_of_vanished_hosts_are_ended_by_the_kernel(server, monkeypatch):
-    """A host loses its power: its links here end without a word from it.
+async def test_accepted_links_use_tcp_keepalive(server, monkeypatch):
+    """A host loses power and does not close its links.
 
-    They would stay open for good and take the place of live hosts' links. Loopback
-    can't lose a host, so the kernel's own settings of the accepted socket are read.
+    They would stay open forever and count against the limit of accepted links. This
+    can't be simulated over loopback, so the options of the accepted socket are checked.
     """
     found = []
 
-    async def async_look(self, stream):
+    async def async_inspect(self, stream):
         accepted = stream._writer.get_extra_info("socket")
         found.append(accepted.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE))
         found.append(accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE))
 
-    monkeypatch.setattr(PeerServer, "_async_serve", async_look)
+    monkeypatch.setattr(PeerServer, "_async_serve", async_inspect)
     reader, writer, _ = await async_open_stream(server[0])
     await reader.read()
     writer.close()
@@ -125,7 +130,7 @@
     address, metrics, handled = server
     links = PeerLinks(CLIENT, b"x" * 32)
     with pytest.raises(NotConnectedError):
-        await links.async_ask(address, Echo("a"), 5)
+        await links.async_request(address, Echo("a"), 5)
     await async_wait_for_bad_frame(metrics, "wrong_key")
     assert handled == []
 
@@ -162,18 +167,18 @@
     writer.close()
 
 
-async def test_a_recorded_connection_cannot_be_played_back(server):
-    """Someone records a host's whole connection and sends the same bytes again.
+async def test_a_recorded_connection_cannot_be_replayed(server):
+    """An attacker records a host's connection and sends the same data again.
 
-    The server's nonce is another one, so the recorded proof of the key doesn't fit,
-    and the recorded call never reaches the handler a second time.
+    The server's nonce differs, so the recorded proof of the key is not valid, and the
+    recorded call does not reach the handler a second time.
     """
     address, metrics, handled = server
     sent = bytearray()
     reader, writer = await asyncio.open_connection(address.host, address.port)
     write = writer.write
     writer.write = lambda data: (sent.extend(data), write(data))
-    stream = await async_shake_hands(reader, writer, CLIENT, KEY, is_client=True)
+    stream = await async_handshake(reader, writer, CLIENT, KEY, is_client=True)
     envelope = Envelope(1, False, 0.0, encode_message(Echo("a")))
     await stream.async_send(encode_message(envelope))
     await stream.async_receive()
@@ -185,11 +190,11 @@
     writer.close()
 
 
-async def test_a_thousand_questions_to_a_dead_host_make_a_few_connections():
-    """An owner dies with a thousand repeats on their way to it.
+async def test_a_thousand_requests_to_a_dead_host_open_few_connections():
+    """An owner dies while a thousand retries are sent to it within 0.2 s.
 
-    They come within 0.2 s. One attempt at a time and the backoff before the next bound
-    the connections; all are told within the backoff's bound.
+    One attempt at a time, with a backoff before the next, bounds the number of
+    connections; all requests fail within the maximum backoff.
     """
     accepted = 0
 
@@ -206,7 +211,7 @@
         asks = []
         for _ in range(10):
             asks += [
-                asyncio.create_task(links.async_ask(address, Echo("a"), 2))
+                asyncio.create_task(links.async_request(address, Echo("a"), 2))
                 for _ in range(100)
             ]
             await asyncio.sleep(0.02)
@@ -215,7 +220,7 @@
     assert 1 <= accepted <= 5
 
 
-async def test_a_frozen_peer_costs_no_more_than_the_time_limit():
+async def test_an_unresponsive_peer_delays_a_request_by_its_timeout_at_most():
     async def async_hold(reader, writer):
         await asyncio.sleep(30)
 
@@ -224,29 +229,29 @@
     links = PeerLinks(CLIENT, KEY)
     started = asyncio.get_running_loop().time()
     with pytest.raises(ConnectionLostError):
-        await links.async_ask(address, Echo("a"), 0.2)
+        await links.async_request(address, Echo("a"), 0.2)
     assert asyncio.get_running_loop().time() - started < 1.5
     await links.async_unload()
     server.close()
 
 
-async def test_a_time_limit_travels_as_a_point_of_the_peers_clock(server):
-    """The clock offset is a lower bound: limits may come early, never late."""
+async def test_the_clock_offset_is_a_lower_bound(server):
+    """A deadline converted to the peer's clock may be early, but never late."""
     address, _, _ = server
     links = PeerLinks(CLIENT, KEY)
     offsets = []
-    await links.async_ask_with_clock(
+    await links.async_request_with_clock(
         address, lambda offset: Echo(str(offsets.append(offset))), 5
     )
     assert -0.5 < offsets[0] <= 0
     await links.async_unload()
 
 
-async def test_a_host_that_just_came_up_is_reached_within_the_backoff():
-    """A host is asked while it still starts, and again right after it came up.
+async def test_a_host_that_just_started_is_reached_after_the_backoff():
+    """A host gets requests before it listens, and again right after its start.
 
-    The first question fails and starts the backoff. The second must not be told
-    "not connected" of a host that is there by now; it waits for the next attempt.
+    The first requests fail and start the backoff. The last must not fail with
+    NotConnectedError, as the host is up; it waits for the next attempt.
     """
 
     async def async_echo(peer, message):
@@ -259,19 +264,19 @@
     links = PeerLinks(CLIENT, KEY)
     for _ in range(3):
         with pytest.raises(NotConnectedError):
-            await links.async_ask(address, Echo("a"), 5)
+            await links.async_request(address, Echo("a"), 5)
     peers = PeerServer(HostIdentity(address, 7), KEY, async_echo, Metrics())
     await peers.async_setup()
-    assert await links.async_ask(address, Echo("a"), 5) == Echo("a")
+    assert await links.async_request(address, Echo("a"), 5) == Echo("a")
     await links.async_unload()
     await peers.async_unload()
 
 
 @pytest.fixture
 async def replaced_host():
-    """Give links to a host that was lost without a word, and replaced at its address.
+    """Yield links to a host that lost power and was replaced at its address.
 
-    Its machine lost power: no end of the connection ever came, so the link stays open.
+    The connection to the lost host was never closed, so the link is still open.
     """
 
     async def async_echo(peer, message):
@@ -280,19 +285,19 @@
     async with AsyncExitStack() as stack:
         release = asyncio.Event()
 
-        async def async_fall_silent(reader, writer):
+        async def async_stop_answering(reader, writer):
             identity = HostIdentity(Address("127.0.0.1", 1), 7)
-            await async_shake_hands(reader, writer, identity, KEY, is_client=False)
+            await async_handshake(reader, writer, identity, KEY, is_client=False)
             await release.wait()
             writer.transport.abort()
 
-        lost = await asyncio.start_server(async_fall_silent, "127.0.0.1", 0)
+        lost = await asyncio.start_server(async_stop_answering, "127.0.0.1", 0)
         address = Address("127.0.0.1", lost.sockets[0].getsockname()[1])
         stack.callback(release.set)
         links = PeerLinks(CLIENT, KEY)
         stack.push_async_callback(links.async_unload)
         with pytest.raises(ConnectionLostError):
-            await links.async_ask(address, Echo("a"), 0.2, 7)
+            await links.async_request(address, Echo("a"), 0.2, 7)
         lost.close()
         peers = PeerServer(HostIdentity(address, 8), KEY, async_echo, Metrics())
         await peers.async_setup()
@@ -300,32 +305,32 @@
         yield links, address
 
 
-async def test_keys_of_a_replaced_host_are_not_asked_for_over_its_old_link(
+async def test_requests_for_a_new_incarnation_do_not_use_the_old_link(
     replaced_host, monkeypatch
 ):
-    """The new host gives out keys, and another host forwards one of them to it.
+    """A replacement host issued a key, and another host forwards a call with it.
 
-    The old link, still open, leads to another incarnation. Telling the caller
-    "unknown" by it would go on until TCP gives up, a quarter of an hour later.
+    The old link is still open and leads to the previous incarnation. If it were used,
+    calls would get an unknown outcome until TCP gives up after 15 minutes.
     """
     links, address = replaced_host
-    monkeypatch.setattr(c, "LINK_RENEW_SECONDS", 0.0)
-    assert await links.async_ask(address, Echo("a"), 2, 8) == Echo("a")
+    monkeypatch.setattr(c, "LINK_REPLACE_MIN_AGE_SECONDS", 0.0)
+    assert await links.async_request(address, Echo("a"), 2, 8) == Echo("a")
     with pytest.raises(NotConnectedError):
-        await links.async_ask(address, Echo("a"), 2, 7)
+        await links.async_request(address, Echo("a"), 2, 7)
 
 
-async def test_a_link_that_fell_silent_is_made_anew(replaced_host, monkeypatch):
+async def test_an_inactive_link_is_replaced(replaced_host, monkeypatch):
     links, address = replaced_host
-    monkeypatch.setattr(c, "LINK_SILENCE_SECONDS", 0.3)
+    monkeypatch.setattr(c, "LINK_INACTIVITY_SECONDS", 0.3)
     with pytest.raises(ConnectionLostError):
-        await links.async_ask(address, Echo("a"), 0.5)
-    assert await links.async_ask(address, Echo("a"), 2) == Echo("a")
+        await links.async_request(address, Echo("a"), 0.5)
+    assert await links.async_request(address, Echo("a"), 2) == Echo("a")
 
 
-async def test_an_idle_link_that_is_dead_costs_a_call_a_second_not_its_answer(
+async def test_a_dead_idle_link_delays_a_request_but_does_not_fail_it(
     replaced_host, monkeypatch
 ):
     links, address = replaced_host
     monkeypatch.setattr(c, "CLOCK_MAX_AGE_SECONDS", 0.0)
-    assert await links.async_ask(address, Echo("a"), 5) == Echo("a")
+    assert await links.async_request(address, Echo("a"), 5) == Echo("a")
--- a/libraries/wire/tests/test_receiver.py
+++ b/libraries/wire/tests/test_receiver.py
@@ -1,4 +1,4 @@
-"""Tests of what is read of a connection that fails."""
+"""Tests for reading from connections that fail."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 from tarragonward_wire.receiver import Receiver
 
 
-async def test_what_came_before_a_failed_write_is_read_before_the_error():
-    """A target answers early and closes; the rest of the body cannot be written.
+async def test_data_received_before_a_failed_write_is_returned_before_the_error():
+    """A target answers early and closes, so writing the rest of the body fails.
 
-    The answer is here, then the write fails: the reader gets the answer, piece by
-    piece, and only then the error.
+    The answer was received before the write failed: the reader must get the answer,
+    and only then the error.
     """
     receiver = Receiver()
     receiver.data_received(b"answer")
@@ -21,7 +21,7 @@
         await receiver.async_read()
 
 
-async def test_a_waiting_reader_gets_what_comes_and_then_the_end():
+async def test_a_waiting_reader_gets_data_and_then_the_end():
     receiver = Receiver()
     waiting = asyncio.ensure_future(receiver.async_read())
     await asyncio.sleep(0)
@@ -32,7 +32,7 @@
     assert await receiver.async_read() == b""
 
 
-async def test_a_reader_that_was_cancelled_loses_nothing():
+async def test_a_cancelled_read_loses_no_data():
     receiver = Receiver()
     waiting = asyncio.ensure_future(receiver.async_read())
     await asyncio.sleep(0)
