--- a/libraries/placement/tarragonward_placement/const.py
+++ b/libraries/placement/tarragonward_placement/const.py
@@ -19,6 +19,7 @@
 
 FIRST_LONG_CLASS = 2
 FIRST_LONG_PRIORITY = 2
+# Prompts from this length class on fill the engines in the order that all hosts share.
 FIRST_PACKED_CLASS = 1
 
 SAMPLED_CANDIDATES = 4
--- a/libraries/placement/tarragonward_placement/fleet.py
+++ b/libraries/placement/tarragonward_placement/fleet.py
@@ -320,9 +320,9 @@
 
     def _expire_counts(self, now: float) -> None:
         """Drop expired counts: engines come and go, so they would accumulate."""
-        oldest = now - c.MAX_COUNT_AGE_SECONDS
+        expired_before = now - c.MAX_COUNT_AGE_SECONDS
         for engine, count in list(self._counts.items()):
-            if count.observed_at < oldest:
+            if count.observed_at < expired_before:
                 del self._counts[engine]
 
     def _add_counts(self, known: dict[str, EngineUsage], now: float) -> None:
--- a/libraries/placement/tarragonward_placement/outlook.py
+++ b/libraries/placement/tarragonward_placement/outlook.py
@@ -40,10 +40,10 @@
         """
         if not self.slots:
             return 0.0
-        left = len(self.free_engines.difference(prefill_engines))
-        lost_share = self._compute_unserved_share(left) - self._compute_unserved_share(
-            len(self.free_engines)
-        )
+        remaining_engines = len(self.free_engines.difference(prefill_engines))
+        lost_share = self._compute_unserved_share(
+            remaining_engines
+        ) - self._compute_unserved_share(len(self.free_engines))
         return self.weight_per_second * seconds * lost_share
 
     def _compute_unserved_share(self, engines: int) -> float:
@@ -67,7 +67,7 @@
         for usage in usages.values()
         if any(aim < pause for aim in usage.weights)
     ]
-    strictest = min(
+    shortest_aim = min(
         (min(usage.weights) for usage in usages.values() if usage.weights), default=0
     )
     return ShortPromptForecast(
@@ -77,7 +77,7 @@
         free_engines=frozenset(
             name
             for name, usage in usages.items()
-            if usage.prefill_seconds * MILLISECONDS <= strictest
+            if usage.prefill_seconds * MILLISECONDS <= shortest_aim
         ),
         slots_per_engine=max(model.slots * c.SLOT_FILL_SHARE, 1.0),
     )
--- a/libraries/placement/tarragonward_placement/places.py
+++ b/libraries/placement/tarragonward_placement/places.py
@@ -49,10 +49,11 @@
 class EnginePosition:
     """An engine's position in the engine order of its failure domain.
 
-    beyond_pool_share is how many engines it lies beyond the pool that the domain's most
-    latency-sensitive requests need, as a share of all engines. distance_to_end is its
-    distance from the domain's last engine, 0 to 1. is_local is set where the engine is
-    in the failure domain of the host that plans.
+    beyond_pool_share is how many engines it lies beyond the domain's pool, the engines
+    that requests with the same pause limit need, as a share of all engines.
+    distance_to_end is its distance from the domain's last engine, 0 to 1. is_local is
+    set if the engine is in the planning host's failure domain, or if that domain has no
+    engines.
     """
 
     name: str
--- a/libraries/placement/tarragonward_placement/target_limits.py
+++ b/libraries/placement/tarragonward_placement/target_limits.py
@@ -159,9 +159,9 @@
 
     def keep_only(self, numbers: Collection[int], now: float) -> None:
         """Forget targets that are gone, and limits that ended long ago."""
-        oldest = now - c.LIMIT_RETENTION_SECONDS
+        expired_before = now - c.LIMIT_RETENTION_SECONDS
         for number, limit in list(self._limits.items()):
-            has_ended = limit.rate is None and limit.advertised_at < oldest
+            has_ended = limit.rate is None and limit.advertised_at < expired_before
             if has_ended or number not in numbers:
                 del self._limits[number]
 
--- a/libraries/placement/tests/test_summaries.py
+++ b/libraries/placement/tests/test_summaries.py
@@ -39,8 +39,8 @@
 def test_usage_that_is_reported_twice_counts_once():
     """A prefill is reported at once, and again in the summary of the engine's cell."""
     peer, local, remote = make_tracker("e1"), make_tracker(), make_tracker()
-    local.apply_digest("reader", peer.build_digest(0.0), 0.0, 0.0)
-    remote.apply_digest("reader", peer.build_digest(0.0), 0.0, 0.0)
+    local.apply_digest("peer", peer.build_digest(0.0), 0.0, 0.0)
+    remote.apply_digest("peer", peer.build_digest(0.0), 0.0, 0.0)
     remote.apply_summary(pack_summary(local), 0.0, 0.0)
     known = remote.get_usage(0.1)["e1"]
     assert (known.requests, known.prefill_seconds) == (1, pytest.approx(0.9))
--- a/libraries/placement/tests/test_target_limits.py
+++ b/libraries/placement/tests/test_target_limits.py
@@ -39,7 +39,7 @@
     ]
     assert 0.8 * rate < sum(shares) <= rate
     # The saved allowances of all hosts, and what they accrue in a window.
-    saved = sum(part > 0 for part in shares)
+    saved = sum(share > 0 for share in shares)
     assert saved + sum(shares) * WINDOW <= count_allowed(rate)
 
 
@@ -52,7 +52,7 @@
         shares += [
             compute_host_share(TARGET, rate, HostView(h, known, hosts)) for h in known
         ]
-    saved = sum(part > 0 for part in shares)
+    saved = sum(share > 0 for share in shares)
     assert saved + sum(shares) * WINDOW <= count_allowed(rate)
 
 
@@ -73,8 +73,8 @@
             if limits.may_send(TARGET, HostView(name, known, 9), now):
                 limits.record_send(TARGET)
                 sent.append(now)
-    most = max(sum(at <= s < at + WINDOW for s in sent) for at in sent)
-    assert most <= count_allowed(rate)
+    busiest_window = max(sum(at <= s < at + WINDOW for s in sent) for at in sent)
+    assert busiest_window <= count_allowed(rate)
     assert len(sent) > 0.6 * rate * 40.0
 
 
