--- a/libraries/gateway/tests/test_prompts.py
+++ b/libraries/gateway/tests/test_prompts.py
@@ -42,7 +42,7 @@
     The first leader refuses and names one of the other engines. The next attempt
     succeeds without that engine, and the caller receives its answer.
     """
-    gone, asked = [], []
+    unreachable, asked = [], []
 
     async def script(request, writer):
         asked.append(request)
@@ -50,16 +50,16 @@
             await stream_events([1])(request, writer)
             return
         own = request.get("x-expected-target")[0]
-        gone.append(next(target for target in site.targets if target.id != own))
-        lines = [f"X-Failed-Target: {gone[0].id}"]
+        unreachable.append(next(target for target in site.targets if target.id != own))
+        lines = [f"X-Failed-Target: {unreachable[0].id}"]
         await refuse_with(lines=lines)(request, writer)
 
     site = await make_engines(*[script] * 4)
     answer = await site.async_ask_prompt("300000,500")
     assert answer.status == 200
-    assert str(gone[0].address) in asked[0].get("x-helper-engines")[0]
-    assert str(gone[0].address) not in asked[1].get("x-helper-engines")[0]
-    assert not gone[0].seen
+    assert str(unreachable[0].address) in asked[0].get("x-helper-engines")[0]
+    assert str(unreachable[0].address) not in asked[1].get("x-helper-engines")[0]
+    assert not unreachable[0].seen
 
 
 async def test_prompt_beyond_all_memory_is_refused_at_once(make_engines):
--- a/libraries/gateway/tests/test_readers.py
+++ b/libraries/gateway/tests/test_readers.py
@@ -87,12 +87,12 @@
 
 
 def test_standby_that_is_behind_pulls_from_a_peer_at_once(standby):
-    told = PeerReported("mate", 11, 0.01)
-    assert standby.handle(told, 10, 75, 1.1) == [PullFromPeer("mate")]
-    assert standby.handle(told, 10, 75, 1.1 + c.BEHIND_GRACE_SECONDS) == [
-        PullFromPeer("mate")
+    report = PeerReported("peer", 11, 0.01)
+    assert standby.handle(report, 10, 75, 1.1) == [PullFromPeer("peer")]
+    assert standby.handle(report, 10, 75, 1.1 + c.BEHIND_GRACE_SECONDS) == [
+        PullFromPeer("peer")
     ]
-    assert standby.handle(told, 11, 75, 2.0) == [MarkConfirmed(0.01)]
+    assert standby.handle(report, 11, 75, 2.0) == [MarkConfirmed(0.01)]
     assert isinstance(standby.choose_step(STANDBY, 0.01, 2.0), Pause)
 
 
--- a/libraries/gateway/tests/test_suspect_task.py
+++ b/libraries/gateway/tests/test_suspect_task.py
@@ -110,8 +110,8 @@
         )
         for number in range(200)
     )
-    keepers = choose_aggregators(FINGERPRINT, peers)
-    domains = [address.host.split(".")[2] for address in keepers]
+    aggregators = choose_aggregators(FINGERPRINT, peers)
+    domains = [address.host.split(".")[2] for address in aggregators]
     assert sorted(domains) == sorted("0011223344")
     again = choose_aggregators(FINGERPRINT, tuple(reversed(peers)))
-    assert set(keepers) == set(again)
+    assert set(aggregators) == set(again)
