--- a/libraries/daemon/tarragonward_daemon/app.py
+++ b/libraries/daemon/tarragonward_daemon/app.py
@@ -155,7 +155,7 @@
         # to have effect. Without a balancer that asks, the wait is bounded.
         self.host.is_draining = True
         with suppress(TimeoutError):
-            async with asyncio.timeout(c.BALANCER_ASKS_SECONDS):
+            async with asyncio.timeout(c.MAX_HEALTH_CHECK_WAIT_SECONDS):
                 await self.host.drain_read.wait()
         await asyncio.sleep(c.BALANCER_NOTICE_SECONDS)
         self.host.is_admitting = False
@@ -172,6 +172,6 @@
         self.host.is_draining, self.host.is_admitting = True, False
         self.models.stop_all()
         with suppress(TimeoutError):
-            async with asyncio.timeout(c.STOP_ANSWERS_SECONDS):
+            async with asyncio.timeout(c.STOP_TIMEOUT_SECONDS):
                 while self.host.requests_in_flight:
                     await self.host.idle.wait()
--- a/libraries/daemon/tarragonward_daemon/callers.py
+++ b/libraries/daemon/tarragonward_daemon/callers.py
@@ -159,7 +159,7 @@
         )
         # A caller that reads nothing must not hold its request. Symptom: a drain that
         # waits for it. Running out of time here ends the caller's connection.
-        async with asyncio.timeout(c.END_ANSWER_SECONDS):
+        async with asyncio.timeout(c.END_ANSWER_TIMEOUT_SECONDS):
             await answer.async_end(end)
         self._log_context_end(
             context,
--- a/libraries/daemon/tarragonward_daemon/calls.py
+++ b/libraries/daemon/tarragonward_daemon/calls.py
@@ -186,7 +186,9 @@
                 break
             except ConnectionLostError as err:
                 log_event("owner_link_lost", owner=key.owner, error=repr(err))
-            await asyncio.sleep(c.FORWARD_RETRY_SECONDS * random.uniform(0.5, 1.5))
+            await asyncio.sleep(
+                c.FORWARD_RETRY_DELAY_SECONDS * random.uniform(0.5, 1.5)
+            )
         return _reply_unknown()
 
     async def _async_ask_owner(self, call: ServiceCall, key: CallKey) -> Reply:
@@ -281,7 +283,7 @@
         headers={"content-type": call.content_type},
         body=call.body,
         timeout=remaining,
-        connect_timeout=c.SERVICE_CONNECT_SECONDS,
+        connect_timeout=c.SERVICE_CONNECT_TIMEOUT_SECONDS,
     )
     content_type = answer.headers.get("content-type", c.DEFAULT_CONTENT_TYPE)
     return RecordedAnswer(answer.status, content_type, answer.body)
--- a/libraries/daemon/tarragonward_daemon/configuration.py
+++ b/libraries/daemon/tarragonward_daemon/configuration.py
@@ -150,7 +150,7 @@
                 floor=self.history.floor,
             )
             await asyncio.sleep(
-                c.CONFIGURATION_RETRY_SECONDS * random.uniform(0.5, 1.5)
+                c.CONFIGURATION_RETRY_DELAY_SECONDS * random.uniform(0.5, 1.5)
             )
 
     async def _async_read_any_snapshot(self) -> None:
@@ -241,11 +241,11 @@
 
     async def _async_exchange(self) -> None:
         while True:
-            pause = c.CONFIGURATION_PULL_SECONDS * random.uniform(0.75, 1.25)
+            pause = c.CONFIGURATION_PULL_INTERVAL_SECONDS * random.uniform(0.75, 1.25)
             try:
                 async with asyncio.timeout(pause):
                     await self._catch_up.wait()
-                await asyncio.sleep(c.CONFIGURATION_RETRY_SECONDS)
+                await asyncio.sleep(c.CONFIGURATION_RETRY_DELAY_SECONDS)
             except TimeoutError:
                 pass
             self._catch_up.clear()
@@ -263,19 +263,19 @@
         domain = self._host.settings.failure_domain
         random.shuffle(engines)
         engines.sort(key=lambda engine: engine.failure_domain != domain)
-        chosen = engines[: c.FENCING_ENGINES]
+        chosen = engines[: c.MAX_FENCING_READS]
         addresses = [engine.address for engine in chosen]
         for number in await _async_gather_fencing(addresses):
             self.history.raise_floor(number)
 
     async def _async_get(self, replica: Address, path: str, wait: float) -> Any:
-        timeout = wait + c.CONFIGURATION_READ_SECONDS
+        timeout = wait + c.CONFIGURATION_READ_TIMEOUT_SECONDS
         answer = await async_send_http(
             replica,
             "GET",
             path,
             timeout=timeout,
-            inactivity_timeout=c.CONFIGURATION_READ_SECONDS,
+            inactivity_timeout=c.CONFIGURATION_READ_TIMEOUT_SECONDS,
         )
         if answer.status != 200:
             raise TargetError(f"{replica} answered {answer.status}")
@@ -306,7 +306,7 @@
 
 
 async def _async_pause() -> None:
-    await asyncio.sleep(c.CONFIGURATION_RETRY_SECONDS * random.uniform(0.5, 1.5))
+    await asyncio.sleep(c.CONFIGURATION_RETRY_DELAY_SECONDS * random.uniform(0.5, 1.5))
 
 
 def _get_code_number(verdict: Verdict) -> int:
--- a/libraries/daemon/tarragonward_daemon/configuration_peers.py
+++ b/libraries/daemon/tarragonward_daemon/configuration_peers.py
@@ -106,7 +106,7 @@
         """Ask several hosts for what they have; bounded in time where cut off."""
         await self._async_wait_for_members()
         members = self._membership.membership.get_members()
-        chosen = random.sample(members, min(len(members), c.START_PEERS))
+        chosen = random.sample(members, min(len(members), c.MAX_START_PEERS))
         pulls = [self._async_pull(member.listed.address) for member in chosen]
         await asyncio.gather(*pulls)
 
@@ -166,8 +166,8 @@
             news = await self._links.async_request(
                 address,
                 question,
-                c.CONFIGURATION_ASK_SECONDS,
-                inactivity_timeout=c.CONFIGURATION_ASK_SECONDS,
+                c.CONFIGURATION_PEER_TIMEOUT_SECONDS,
+                inactivity_timeout=c.CONFIGURATION_PEER_TIMEOUT_SECONDS,
             )
             if isinstance(news, ConfigurationNews):
                 self.take_news(news, str(address))
@@ -178,16 +178,18 @@
 
     async def _async_push(self, address: Address, news: ConfigurationNews) -> None:
         try:
-            await self._links.async_notify(address, news, c.CONFIGURATION_ASK_SECONDS)
+            await self._links.async_notify(
+                address, news, c.CONFIGURATION_PEER_TIMEOUT_SECONDS
+            )
         except TargetError as err:
             log_event("configuration_push_failed", peer=address, error=repr(err))
 
     async def _async_wait_for_members(self) -> None:
         """Wait a bounded time for the first host list; it may be empty or cut off."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + c.START_MEMBERS_SECONDS
+        end = loop.time() + c.START_MEMBERS_TIMEOUT_SECONDS
         while not self._membership.membership.get_members() and loop.time() < end:
-            await asyncio.sleep(c.START_POLL_SECONDS)
+            await asyncio.sleep(c.START_POLL_INTERVAL_SECONDS)
 
     def _choose_neighbours(self) -> list[Member]:
         """Return the few hosts that this one always exchanges with.
@@ -232,7 +234,7 @@
     )
     near = [m for m in ranked if m.listed.failure_domain == failure_domain]
     far = [m for m in ranked if m.listed.failure_domain != failure_domain]
-    return near[: c.NEIGHBOURS_NEAR] + far[: c.NEIGHBOURS_FAR]
+    return near[: c.LOCAL_NEIGHBOURS] + far[: c.REMOTE_NEIGHBOURS]
 
 
 def _score(ours: str, theirs: str) -> bytes:
--- a/libraries/daemon/tarragonward_daemon/engine_probes.py
+++ b/libraries/daemon/tarragonward_daemon/engine_probes.py
@@ -79,7 +79,7 @@
                     task.add_done_callback(
                         lambda _, name=target.name: self._probes.pop(name, None)
                     )
-            await asyncio.sleep(c.PROBE_TICK_SECONDS)
+            await asyncio.sleep(c.PROBE_CHECK_INTERVAL_SECONDS)
 
     def _get_due(self, now: float) -> list[Target]:
         due = {s.target.name: s.target for s in self._streams if _is_silent(s, now)}
--- a/libraries/daemon/tarragonward_daemon/engines.py
+++ b/libraries/daemon/tarragonward_daemon/engines.py
@@ -218,7 +218,7 @@
         # and what outlives the limit is found by the sweep.
         loop = asyncio.get_running_loop()
         give_up_at = loop.time() + c.CANCEL_RETRY_LIMIT_SECONDS
-        delay = c.CANCEL_RETRY_SECONDS
+        delay = c.CANCEL_RETRY_DELAY_SECONDS
         while loop.time() < give_up_at:
             try:
                 await async_send_http(
@@ -227,5 +227,5 @@
                 return
             except TargetError:
                 await asyncio.sleep(delay * random.uniform(0.5, 1.5))
-                delay = min(delay * 2, c.CANCEL_RETRY_CAP_SECONDS)
+                delay = min(delay * 2, c.MAX_CANCEL_RETRY_DELAY_SECONDS)
         log_event("release_failed", target=target.name, path=path)
--- a/libraries/daemon/tarragonward_daemon/gossip.py
+++ b/libraries/daemon/tarragonward_daemon/gossip.py
@@ -103,7 +103,7 @@
     async def _async_ask_helper(self, effect: RequestIndirectProbe) -> None:
         question = IndirectProbe(effect.address.host, effect.address.port)
         answer = await self._async_ask(
-            effect.helper, question, c.INDIRECT_PROBE_SECONDS
+            effect.helper, question, c.INDIRECT_PROBE_TIMEOUT_SECONDS
         )
         if isinstance(answer, IndirectAck) and answer.record:
             with self._refuse_bad(effect.helper):
--- a/libraries/daemon/tarragonward_daemon/membership.py
+++ b/libraries/daemon/tarragonward_daemon/membership.py
@@ -149,7 +149,7 @@
         while True:
             self._take_configuration()
             self._carrier.handle(Tick())
-            await asyncio.sleep(c.MEMBERSHIP_TICK_SECONDS)
+            await asyncio.sleep(c.MEMBERSHIP_TICK_INTERVAL_SECONDS)
 
     def _take_configuration(self) -> None:
         state = self._host.configuration_state
@@ -171,7 +171,7 @@
                 await self._async_read_list(replica)
             except LIST_ERRORS as err:
                 log_event("host_list_read_failed", replica=replica, error=repr(err))
-            await asyncio.sleep(c.HOST_LIST_SECONDS * random.uniform(0.8, 1.2))
+            await asyncio.sleep(c.HOST_LIST_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
 
     async def _async_read_list(self, replica: Address) -> None:
         # The list of a large fleet is over 100 KB and is read every two seconds. Most
--- a/libraries/daemon/tarragonward_daemon/model_run.py
+++ b/libraries/daemon/tarragonward_daemon/model_run.py
@@ -361,7 +361,7 @@
         # finish line: the engine sees a lost reader and keeps the memory. Where the
         # end does not come, the stream is cancelled like any other.
         try:
-            async with asyncio.timeout(c.STREAM_END_SECONDS):
+            async with asyncio.timeout(c.STREAM_END_TIMEOUT_SECONDS):
                 async for _ in items:
                     pass
             reading.is_released = True
--- a/libraries/daemon/tarragonward_daemon/orders.py
+++ b/libraries/daemon/tarragonward_daemon/orders.py
@@ -70,8 +70,12 @@
 
     def _get_interval(self) -> float:
         """Return the seconds between looks: longer in a large fleet, within bounds."""
-        seconds = self._membership.count_live_hosts() * c.ORDER_SECONDS_A_HOST
-        return min(max(seconds, c.ORDER_SECONDS), c.ORDER_SECONDS_LIMIT)
+        seconds = (
+            self._membership.count_live_hosts() * c.ORDER_INTERVAL_SECONDS_PER_HOST
+        )
+        return min(
+            max(seconds, c.MIN_ORDER_INTERVAL_SECONDS), c.MAX_ORDER_INTERVAL_SECONDS
+        )
 
     async def _async_check_all(self) -> None:
         state = self._host.configuration_state
--- a/libraries/daemon/tarragonward_daemon/owned_calls.py
+++ b/libraries/daemon/tarragonward_daemon/owned_calls.py
@@ -160,7 +160,7 @@
                 # What was sent may still be answered after the caller's limit; its
                 # repeats then get the answer instead of "unknown".
                 timeout=remaining + c.SENT_CALL_GRACE_SECONDS,
-                connect_timeout=min(c.SERVICE_CONNECT_SECONDS, remaining),
+                connect_timeout=min(c.SERVICE_CONNECT_TIMEOUT_SECONDS, remaining),
                 before_write=mark_sent,
             )
         except ConnectionLostError as err:
--- a/libraries/daemon/tarragonward_daemon/prefixes.py
+++ b/libraries/daemon/tarragonward_daemon/prefixes.py
@@ -52,7 +52,9 @@
 
     async def _async_run(self) -> None:
         while True:
-            await asyncio.sleep(c.PREFIX_READ_SECONDS * random.uniform(0.8, 1.2))
+            await asyncio.sleep(
+                c.PREFIX_READ_INTERVAL_SECONDS * random.uniform(0.8, 1.2)
+            )
             self._forget_unused()
             targets = [target for target, _ in self._used.values()]
             chosen = random.sample(targets, min(len(targets), c.MAX_PREFIX_READS))
@@ -61,7 +63,7 @@
     def _forget_unused(self) -> None:
         now = asyncio.get_running_loop().time()
         for name, (_, used_at) in list(self._used.items()):
-            if now - used_at > c.PREFIX_USED_SECONDS:
+            if now - used_at > c.PREFIX_RETENTION_SECONDS:
                 del self._used[name]
                 self._index.forget(name)
 
--- a/libraries/daemon/tarragonward_daemon/reports.py
+++ b/libraries/daemon/tarragonward_daemon/reports.py
@@ -87,8 +87,12 @@
 
     def _get_interval(self) -> float:
         """Return the seconds between reads: more with more hosts, as gossip's round."""
-        seconds = self._membership.count_live_hosts() * c.REPORT_SECONDS_A_HOST
-        return min(max(seconds, c.REPORT_SECONDS), c.REPORT_SECONDS_LIMIT)
+        seconds = (
+            self._membership.count_live_hosts() * c.REPORT_INTERVAL_SECONDS_PER_HOST
+        )
+        return min(
+            max(seconds, c.MIN_REPORT_INTERVAL_SECONDS), c.MAX_REPORT_INTERVAL_SECONDS
+        )
 
     async def _async_read_one(self, engine: Target) -> None:
         try:
--- a/libraries/daemon/tarragonward_daemon/sweep.py
+++ b/libraries/daemon/tarragonward_daemon/sweep.py
@@ -70,8 +70,12 @@
 
     def _get_interval(self) -> float:
         """Return the seconds between sweeps: more with more hosts, as they share."""
-        seconds = self._membership.count_live_hosts() * c.SWEEP_SECONDS_A_HOST
-        return min(max(seconds, c.SWEEP_SECONDS), c.SWEEP_SECONDS_LIMIT)
+        seconds = (
+            self._membership.count_live_hosts() * c.SWEEP_INTERVAL_SECONDS_PER_HOST
+        )
+        return min(
+            max(seconds, c.MIN_SWEEP_INTERVAL_SECONDS), c.MAX_SWEEP_INTERVAL_SECONDS
+        )
 
     def _get_watched(self) -> dict[str, Target]:
         state = self._host.configuration_state
@@ -99,7 +103,7 @@
 
     async def _async_look_at_owners(self) -> None:
         owners = self._sweep.get_owners()
-        looked_at = random.sample(owners, min(len(owners), c.MAX_OWNER_LOOKS))
+        looked_at = random.sample(owners, min(len(owners), c.MAX_OWNER_PROBES))
         statuses = await asyncio.gather(*map(self._async_look, looked_at))
         now = asyncio.get_running_loop().time()
         for identity, status in zip(looked_at, statuses, strict=True):
@@ -113,7 +117,7 @@
         if not self._membership.is_gone(owner):
             return OwnerStatus.ALIVE
         try:
-            async with asyncio.timeout(c.OWNER_LOOK_SECONDS):
+            async with asyncio.timeout(c.OWNER_PROBE_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(
                     owner.address.host, owner.address.port
                 )
