--- a/libraries/daemon/tarragonward_daemon/answers.py
+++ b/libraries/daemon/tarragonward_daemon/answers.py
@@ -36,7 +36,7 @@
         self.target = ""
         self.tokens = 0
 
-    def note_target(self, target: str) -> None:
+    def set_target(self, target: str) -> None:
         """Note which engine the answer comes from, for the logs."""
         self.target = target
 
--- a/libraries/daemon/tarragonward_daemon/app.py
+++ b/libraries/daemon/tarragonward_daemon/app.py
@@ -44,7 +44,7 @@
         self.membership = MembershipTask(host)
         self.configuration = ConfigurationTask(host, self.links, self.membership)
         peers = self.configuration.peers
-        self.membership.add_peer_ahead_listener(peers.note_peer_ahead)
+        self.membership.add_peer_ahead_listener(peers.handle_peer_ahead)
         self.orders = OrderTask(host, self.membership, self.configuration)
         self.reports = ReportTask(host, self.membership)
         self.releases = Releases()
@@ -65,8 +65,8 @@
             callers.async_handle,
             self._build_limits(),
             check_head=callers.check_head,
-            translate_refusal=callers.judge_refusal,
-            on_refused=callers.note_refused,
+            translate_refusal=callers.translate_refusal,
+            on_refused=callers.log_refused,
             bodies=BodyBudget(settings.limits.max_bodies_bytes),
         )
         host.metrics.add_gauge(
@@ -74,7 +74,9 @@
             "Request bodies held in memory, in bytes.",
             lambda: self.callers.bodies.held_bytes,
         )
-        operators = OperatorRoutes(host, self.membership, self.reports, self.ask_drain)
+        operators = OperatorRoutes(
+            host, self.membership, self.reports, self.request_drain
+        )
         self.operators = HttpServer(
             settings.operators,
             operators.async_handle,
@@ -95,7 +97,7 @@
             body_timeout=limits.sender_timeout_seconds,
         )
 
-    def ask_drain(self) -> None:
+    def request_drain(self) -> None:
         """Leave the balancer, end what is in progress, then stop; twice: stop now."""
         if self._drain_asked.is_set():
             self._stop_asked.set()
@@ -156,7 +158,7 @@
         self.host.is_draining = True
         with suppress(TimeoutError):
             async with asyncio.timeout(c.MAX_HEALTH_CHECK_WAIT_SECONDS):
-                await self.host.drain_read.wait()
+                await self.host.unhealthy_reported.wait()
         await asyncio.sleep(c.BALANCER_NOTICE_SECONDS)
         self.host.is_admitting = False
         self.calls.start_drain()
--- a/libraries/daemon/tarragonward_daemon/callers.py
+++ b/libraries/daemon/tarragonward_daemon/callers.py
@@ -15,7 +15,7 @@
 
 from . import const as c
 from .answers import CompletionAnswer
-from .calls import ServiceCall, ServiceCalls, judge_refusal
+from .calls import ServiceCall, ServiceCalls, translate_refusal
 from .completions import Completion, fit_to_context, parse_chat, parse_completion
 from .core import HostState
 from .models import ModelRequests
@@ -67,13 +67,13 @@
         deadline = now + self._read_time_limit(head)
         return CallerContext(head.request_id, account, now, deadline, headers)
 
-    def judge_refusal(
+    def translate_refusal(
         self, head: HttpHead, error: RequestRefusedError
     ) -> RequestRefusedError:
         """Return what to say of a request that was refused before its body was read."""
-        return judge_refusal(error, c.HEADER_CALL_KEY in head.headers)
+        return translate_refusal(error, c.HEADER_CALL_KEY in head.headers)
 
-    def note_refused(self, request_id: str, code: ResultCode) -> None:
+    def log_refused(self, request_id: str, code: ResultCode) -> None:
         """Log and count a request that was refused before it reached a route."""
         self._log_end(request_id, "", code)
 
@@ -87,7 +87,7 @@
             try:
                 await self._async_route(context, request, responder)
             except RequestRefusedError as refusal:
-                err = judge_refusal(refusal, c.HEADER_CALL_KEY in request.headers)
+                err = translate_refusal(refusal, c.HEADER_CALL_KEY in request.headers)
                 self._log_context_end(context, err.code)
                 await responder.async_send_error(
                     err.code,
--- a/libraries/daemon/tarragonward_daemon/calls.py
+++ b/libraries/daemon/tarragonward_daemon/calls.py
@@ -30,7 +30,13 @@
 from .membership import MembershipTask
 from .owned_calls import OwnedCalls
 
-__all__ = ["CallAnswer", "ForwardCall", "ServiceCall", "ServiceCalls", "judge_refusal"]
+__all__ = [
+    "CallAnswer",
+    "ForwardCall",
+    "ServiceCall",
+    "ServiceCalls",
+    "translate_refusal",
+]
 
 DIGEST_SEPARATOR = b"\0"
 # Codes that a host gives before it has looked at a key, or without being its owner.
@@ -220,7 +226,7 @@
         self._owned.close()
 
 
-def judge_refusal(err: RequestRefusedError, has_key: bool) -> RequestRefusedError:
+def translate_refusal(err: RequestRefusedError, has_key: bool) -> RequestRefusedError:
     """Return what to tell a caller whose copy of a call was refused unread.
 
     A host that is not ready says "not run" of the copy that it refuses. Symptom: the
--- a/libraries/daemon/tarragonward_daemon/configuration.py
+++ b/libraries/daemon/tarragonward_daemon/configuration.py
@@ -96,13 +96,13 @@
             for record in self.verdicts[-SHOWN_PATCHES:]
         ]
 
-    def see_fencing(self, number: int) -> None:
+    def record_fencing(self, number: int) -> None:
         """Note an engine's fencing number; a higher one shows that ours is stale."""
         self.history.raise_floor(number)
         if self.history.is_below_floor:
             self._catch_up.set()
 
-    async def async_look(self) -> bool:
+    async def async_verify_newest(self) -> bool:
         """Look at all replicas of the service; tell whether ours is their newest state.
 
         What is newer is taken over. False where none answers that is at least as new
@@ -137,7 +137,7 @@
         """
         while not self._is_admitting:
             await self._async_read_any_snapshot()
-            await self.peers.async_ask_many()
+            await self.peers.async_pull_from_many()
             await self._async_read_fencing()
             if not self.history.is_below_floor:
                 self._is_admitting = True
@@ -252,7 +252,7 @@
             if self._is_admitting:
                 await self.peers.async_pull_one()
                 if self.history.is_below_floor:
-                    await self.async_look()
+                    await self.async_verify_newest()
 
     async def _async_read_fencing(self) -> None:
         """Ask a few engines for the highest number that they were ordered under."""
--- a/libraries/daemon/tarragonward_daemon/configuration_peers.py
+++ b/libraries/daemon/tarragonward_daemon/configuration_peers.py
@@ -102,7 +102,7 @@
             self._pushing.add(task)
             task.add_done_callback(self._pushing.discard)
 
-    async def async_ask_many(self) -> None:
+    async def async_pull_from_many(self) -> None:
         """Ask several hosts for what they have; bounded in time where cut off."""
         await self._async_wait_for_members()
         members = self._membership.membership.get_members()
@@ -116,7 +116,7 @@
         if neighbours:
             await self._async_pull(random.choice(neighbours).listed.address)
 
-    def note_peer_ahead(self, address: Address, sequence: int) -> None:
+    def handle_peer_ahead(self, address: Address, sequence: int) -> None:
         """Pull from a peer whose gossip tells a longer log; from one at a time.
 
         Neighbours are fixed. Where all five are out of reach, a patch would wait for
@@ -142,7 +142,7 @@
             return self._build_news(entries, b"")
         return self._build_news((), self._encode_snapshot())
 
-    def take_news(self, news: ConfigurationNews, source: str) -> Outcome:
+    def apply_update(self, news: ConfigurationNews, source: str) -> Outcome:
         """Take over what a peer has; raise ConfigurationError where it is not valid."""
         self._compare_digest(news.sequence, news.digest, source)
         if news.snapshot:
@@ -154,9 +154,9 @@
         self._show_taken(taken, source)
         return taken.outcome
 
-    async def async_handle_news(self, news: ConfigurationNews, peer: Address) -> None:
+    async def async_handle_update(self, news: ConfigurationNews, peer: Address) -> None:
         """Take over what a peer pushed; ask it for what lies between where needed."""
-        outcome = self.take_news(news, str(peer))
+        outcome = self.apply_update(news, str(peer))
         if outcome is Outcome.GAP:
             await self._async_pull(peer)
 
@@ -170,7 +170,7 @@
                 inactivity_timeout=c.CONFIGURATION_PEER_TIMEOUT_SECONDS,
             )
             if isinstance(news, ConfigurationNews):
-                self.take_news(news, str(address))
+                self.apply_update(news, str(address))
         except TargetError:
             return
         except (ConfigurationError, ValueError) as err:
--- a/libraries/daemon/tarragonward_daemon/core.py
+++ b/libraries/daemon/tarragonward_daemon/core.py
@@ -45,7 +45,7 @@
     started_at: float = field(default_factory=time.monotonic)
     requests_in_flight: int = 0
     idle: asyncio.Event = field(default_factory=asyncio.Event)
-    drain_read: asyncio.Event = field(default_factory=asyncio.Event)
+    unhealthy_reported: asyncio.Event = field(default_factory=asyncio.Event)
     status_sections: dict[str, Callable[[], Any]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
--- a/libraries/daemon/tarragonward_daemon/engines.py
+++ b/libraries/daemon/tarragonward_daemon/engines.py
@@ -181,7 +181,7 @@
         self._tasks: dict[asyncio.Task[None], str] = {}
 
     @property
-    def held_ids(self) -> set[str]:
+    def pending_ids(self) -> set[str]:
         """Return the ids of streams and reservations that are being cancelled."""
         return set(self._tasks.values())
 
--- a/libraries/daemon/tarragonward_daemon/gossip.py
+++ b/libraries/daemon/tarragonward_daemon/gossip.py
@@ -32,13 +32,13 @@
 from . import const as c
 from .core import HostState
 
-__all__ = ["GossipCarrier"]
+__all__ = ["GossipTransport"]
 
 for message_type in (Gossip, IndirectProbe, IndirectAck):
     register_message(message_type)
 
 
-class GossipCarrier:
+class GossipTransport:
     """Own the links of gossip, and hand events in and effects out.
 
     The links are not those of forwarded calls: a large answer ahead of a probe would
@@ -51,7 +51,7 @@
         self._membership = membership
         self._links = PeerLinks(host.identity, host.settings.peer_key)
         self._tasks: set[asyncio.Task[None]] = set()
-        self.on_peer_ahead: list[Any] = []
+        self.peer_ahead_callbacks: list[Any] = []
 
     async def async_unload(self) -> None:
         """End what is under way, and all links."""
@@ -71,7 +71,7 @@
                 _apply(effect, self)
         return answer
 
-    async def async_help(self, message: IndirectProbe) -> IndirectAck:
+    async def async_probe_indirectly(self, message: IndirectProbe) -> IndirectAck:
         """Probe a host for another that gets no answer from it."""
         address = Address(message.host, message.port)
         now = asyncio.get_running_loop().time()
@@ -131,28 +131,28 @@
 
 
 @singledispatch
-def _apply(effect: Effect, gossip: GossipCarrier) -> None:
+def _apply(effect: Effect, gossip: GossipTransport) -> None:
     raise TypeError(f"not an effect: {effect!r}")
 
 
 @_apply.register
-def _(effect: SendProbe, gossip: GossipCarrier) -> None:
+def _(effect: SendProbe, gossip: GossipTransport) -> None:
     gossip._start(gossip._async_probe(effect))
 
 
 @_apply.register
-def _(effect: RequestIndirectProbe, gossip: GossipCarrier) -> None:
+def _(effect: RequestIndirectProbe, gossip: GossipTransport) -> None:
     gossip._start(gossip._async_ask_helper(effect))
 
 
 @_apply.register
-def _(effect: PeerHasNewerConfiguration, gossip: GossipCarrier) -> None:
-    for callback in gossip.on_peer_ahead:
+def _(effect: PeerHasNewerConfiguration, gossip: GossipTransport) -> None:
+    for callback in gossip.peer_ahead_callbacks:
         callback(effect.address, effect.configuration_sequence)
 
 
 @_apply.register
-def _(effect: MemberChanged, gossip: GossipCarrier) -> None:
+def _(effect: MemberChanged, gossip: GossipTransport) -> None:
     log_event(
         "member_changed",
         address=effect.address,
--- a/libraries/daemon/tarragonward_daemon/groups.py
+++ b/libraries/daemon/tarragonward_daemon/groups.py
@@ -31,7 +31,7 @@
 from .core import HostState
 from .engines import Releases
 
-__all__ = ["GroupHold", "GroupRefusedError", "Groups"]
+__all__ = ["GroupHold", "GroupRefusedError", "GroupReserver"]
 
 
 class GroupRefusedError(TargetError):
@@ -42,7 +42,7 @@
         self.max_delay_seconds = max_delay_seconds
 
 
-class Groups:
+class GroupReserver:
     """Make the reservations of one host's groups.
 
     active_ids are the ids that this host holds: the sweep leaves them alone, and
@@ -141,7 +141,7 @@
 class GroupHold:
     """What one request holds of a group, from its placing until it leaves."""
 
-    def __init__(self, groups: Groups) -> None:
+    def __init__(self, groups: GroupReserver) -> None:
         self._groups = groups
         self._stack = AsyncExitStack()
         self._placed: Placed | None = None
--- a/libraries/daemon/tarragonward_daemon/main.py
+++ b/libraries/daemon/tarragonward_daemon/main.py
@@ -46,7 +46,7 @@
     daemon = Daemon(settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.ask_drain)
+        loop.add_signal_handler(number, daemon.request_drain)
     try:
         await daemon.async_run()
     except OSError as err:
--- a/libraries/daemon/tarragonward_daemon/membership.py
+++ b/libraries/daemon/tarragonward_daemon/membership.py
@@ -37,7 +37,7 @@
 
 from . import const as c
 from .core import HostState
-from .gossip import GossipCarrier
+from .gossip import GossipTransport
 
 __all__ = ["MembershipTask", "parse_list"]
 
@@ -71,7 +71,7 @@
         )
         self.leaving_targets: frozenset[str] = frozenset()
         self._targets = TargetList()
-        self._carrier = GossipCarrier(host, self.membership)
+        self._transport = GossipTransport(host, self.membership)
         self._replicas = itertools.cycle(host.settings.host_list)
         self._lists: dict[Address, _ReadList] = {}
         self._published: Any = None
@@ -85,7 +85,7 @@
     async def async_unload(self) -> None:
         """Stop."""
         await self._background.async_unload()
-        await self._carrier.async_unload()
+        await self._transport.async_unload()
 
     def is_gone(self, identity: HostIdentity) -> bool:
         """Return whether that life of a host is over, as far as this host can tell.
@@ -132,23 +132,23 @@
 
     def add_peer_ahead_listener(self, callback: Callable[[Address, int], None]) -> None:
         """Call back with a peer's address and log sequence when it is ahead."""
-        self._carrier.on_peer_ahead.append(callback)
+        self._transport.peer_ahead_callbacks.append(callback)
 
     def handle_gossip(self, peer: HostIdentity, message: Gossip) -> Gossip:
         """Answer another host's probe."""
-        answer = self._carrier.handle(GossipReceived(peer, message))
+        answer = self._transport.handle(GossipReceived(peer, message))
         if answer is None:
             raise FrameError("a probe without an answer")
         return answer
 
-    async def async_help(self, message: IndirectProbe) -> IndirectAck:
+    async def async_probe_indirectly(self, message: IndirectProbe) -> IndirectAck:
         """Probe a host for another that gets no answer from it."""
-        return await self._carrier.async_help(message)
+        return await self._transport.async_probe_indirectly(message)
 
     async def _async_tick(self) -> None:
         while True:
             self._take_configuration()
-            self._carrier.handle(Tick())
+            self._transport.handle(Tick())
             await asyncio.sleep(c.MEMBERSHIP_TICK_INTERVAL_SECONDS)
 
     def _take_configuration(self) -> None:
@@ -197,7 +197,7 @@
             self._lists[replica] = read
 
     def _take_list(self, read: _ReadList) -> None:
-        self._carrier.handle(HostListRead(read.entries))
+        self._transport.handle(HostListRead(read.entries))
         self._targets.apply_list(read.targets, _get_time())
         self._update_leaving()
 
--- a/libraries/daemon/tarragonward_daemon/model_run.py
+++ b/libraries/daemon/tarragonward_daemon/model_run.py
@@ -56,7 +56,7 @@
     async_read_stream,
     get_fault,
 )
-from .groups import GroupHold, Groups
+from .groups import GroupHold, GroupReserver
 from .membership import MembershipTask
 from .prefixes import PrefixTask, hash_prompt
 from .reports import ReportTask, build_fleet_view
@@ -70,7 +70,7 @@
 class Sink(Protocol):
     """Where an answer's text goes."""
 
-    def note_target(self, target: str) -> None:
+    def set_target(self, target: str) -> None:
         """Note which engine the answer comes from."""
 
     async def async_deliver(self, text: str, tokens: int) -> None:
@@ -90,7 +90,7 @@
     outliers: OutlierDetector
     probes: EngineProbes
     active_streams: set[str]
-    groups: Groups
+    groups: GroupReserver
 
     def is_leaving(self, target: Target) -> bool:
         """Return whether a target must get no new work."""
@@ -281,9 +281,9 @@
 
     def _build_stream(self, number: int, placed: Placed) -> EngineStream:
         engine = self._shared.host.configuration.targets[placed.engines[0]]
-        self._sink.note_target(engine.name)
+        self._sink.set_target(engine.name)
         stream_id = f"{self._request_id}-{number}"
-        self._shared.prefixes.note_used(engine)
+        self._shared.prefixes.mark_used(engine)
         return EngineStream(engine, stream_id, self._shared.host.identity)
 
     def _note_failure(self, attempt: _Attempt, error: TargetError) -> Event:
--- a/libraries/daemon/tarragonward_daemon/models.py
+++ b/libraries/daemon/tarragonward_daemon/models.py
@@ -15,7 +15,7 @@
 from .core import HostState
 from .engine_probes import EngineProbes
 from .engines import Releases
-from .groups import Groups
+from .groups import GroupReserver
 from .membership import MembershipTask
 from .model_run import ModelRun, Sink
 from .prefixes import PrefixTask
@@ -44,7 +44,7 @@
         self.outliers = OutlierDetector()
         self.probes = EngineProbes(host, self.outliers)
         self.active_streams: set[str] = set()
-        self.groups = Groups(host, releases, self.active_streams)
+        self.groups = GroupReserver(host, releases, self.active_streams)
         self._runs: set[ModelRun] = set()
 
     async def async_setup(self) -> None:
--- a/libraries/daemon/tarragonward_daemon/operators.py
+++ b/libraries/daemon/tarragonward_daemon/operators.py
@@ -68,7 +68,7 @@
                 status = 200 if healthy else 503
                 await responder.async_send_json(status, {"healthy": healthy})
                 if self._host.is_draining and not healthy:
-                    self._host.drain_read.set()
+                    self._host.unhealthy_reported.set()
             case c.ROUTE_METRICS:
                 await self._async_send_metrics(request, responder)
             case c.ROUTE_STATUS:
--- a/libraries/daemon/tarragonward_daemon/orders.py
+++ b/libraries/daemon/tarragonward_daemon/orders.py
@@ -119,11 +119,11 @@
         match decision:
             case OrderDecision.CATCH_UP:
                 assert reported is not None
-                self._configuration.see_fencing(reported.fencing)
+                self._configuration.record_fencing(reported.fencing)
             case OrderDecision.SEND:
                 await self._async_send(engine, order)
             case OrderDecision.LOOK_THEN_SEND:
-                await self._async_look_then_send(engine, order)
+                await self._async_verify_then_send(engine, order)
 
     async def _async_read_state(self, engine: Target) -> EngineOrderState | None:
         answer = await async_send_http(
@@ -131,8 +131,8 @@
         )
         return EngineOrderState.parse(answer.parse_json())
 
-    async def _async_look_then_send(self, engine: Target, order: EngineOrder) -> None:
-        if not await self._configuration.async_look():
+    async def _async_verify_then_send(self, engine: Target, order: EngineOrder) -> None:
+        if not await self._configuration.async_verify_newest():
             log_event("order_held_back", engine=engine.name, reason="no fresh look")
             return
         if self._host.configuration_number == order.fencing:
--- a/libraries/daemon/tarragonward_daemon/peers.py
+++ b/libraries/daemon/tarragonward_daemon/peers.py
@@ -60,7 +60,7 @@
 async def _(
     message: ConfigurationNews, tasks: PeerMessages, peer: HostIdentity
 ) -> None:
-    await tasks._configuration.async_handle_news(message, peer.address)
+    await tasks._configuration.async_handle_update(message, peer.address)
 
 
 @_async_handle.register
@@ -72,4 +72,4 @@
 async def _(
     message: IndirectProbe, tasks: PeerMessages, peer: HostIdentity
 ) -> IndirectAck:
-    return await tasks._membership.async_help(message)
+    return await tasks._membership.async_probe_indirectly(message)
--- a/libraries/daemon/tarragonward_daemon/prefixes.py
+++ b/libraries/daemon/tarragonward_daemon/prefixes.py
@@ -46,7 +46,7 @@
         """Stop."""
         await self._background.async_unload()
 
-    def note_used(self, target: Target) -> None:
+    def mark_used(self, target: Target) -> None:
         """Read an engine's events for a while."""
         self._used[target.name] = target, asyncio.get_running_loop().time()
 
--- a/libraries/daemon/tarragonward_daemon/sweep.py
+++ b/libraries/daemon/tarragonward_daemon/sweep.py
@@ -61,7 +61,7 @@
             reported = dict(zip(targets, reports, strict=True))
             reported = {name: r for name, r in reported.items() if r is not None}
             held = [item for report in reported.values() for item in report]
-            own_active = self._models.active_streams | self._releases.held_ids
+            own_active = self._models.active_streams | self._releases.pending_ids
             cancels = self._sweep.process_reports(
                 held, reported.keys(), own_active, loop.time()
             )
--- a/libraries/daemon/tests/test_configuration_peers.py
+++ b/libraries/daemon/tests/test_configuration_peers.py
@@ -90,13 +90,13 @@
     links = SlowLinks()
     peers = ConfigurationPeers(None, links, None, ConfigurationHistory(), None)
     addresses = [Address("127.0.0.2", port) for port in (1, 2, 3)]
-    peers.note_peer_ahead(addresses[0], -1)
+    peers.handle_peer_ahead(addresses[0], -1)
     assert not links.asked
     for address in addresses[:2]:
-        peers.note_peer_ahead(address, 7)
+        peers.handle_peer_ahead(address, 7)
     await asyncio.sleep(0.01)
     assert links.asked == addresses[:1]
-    peers.note_peer_ahead(addresses[2], 7)
+    peers.handle_peer_ahead(addresses[2], 7)
     await asyncio.sleep(0.01)
     assert links.asked == [addresses[0], addresses[2]]
     await peers.async_unload()
--- a/libraries/daemon/tests/test_configuration_task.py
+++ b/libraries/daemon/tests/test_configuration_task.py
@@ -125,7 +125,7 @@
     assert host.configuration_state.number == 1
     assert host.metrics.get_count("configuration_forks") > 0
     assert platform.reads - reads < 40
-    assert not await task.async_look()
+    assert not await task.async_verify_newest()
 
 
 async def test_refused_patches_are_kept_for_operators_with_their_reasons(make_host):
@@ -154,8 +154,8 @@
     await async_wait_in_force(host, 0)
     await platforms[0].async_publish(0, set_weight(5))
     await async_wait_in_force(host, 1)
-    assert await task.async_look()
+    assert await task.async_verify_newest()
     platforms[0].stale_at = 0
-    assert not await task.async_look()
+    assert not await task.async_verify_newest()
     platforms[0].is_configuration_down = True
-    assert not await task.async_look()
+    assert not await task.async_verify_newest()
--- a/libraries/daemon/tests/test_models.py
+++ b/libraries/daemon/tests/test_models.py
@@ -21,7 +21,7 @@
 class StuckSink:
     was_asked = False
 
-    def note_target(self, target):
+    def set_target(self, target):
         pass
 
     async def async_deliver(self, text, tokens):
--- a/libraries/daemon/tests/test_order_task.py
+++ b/libraries/daemon/tests/test_order_task.py
@@ -30,11 +30,13 @@
 
 
 def make_task(number):
-    async def async_look():
+    async def async_verify_newest():
         return True
 
     host = SimpleNamespace(configuration_number=number, metrics=Metrics())
-    return OrderTask(host, None, SimpleNamespace(async_look=async_look))
+    return OrderTask(
+        host, None, SimpleNamespace(async_verify_newest=async_verify_newest)
+    )
 
 
 async def async_get_fencing(engine):
@@ -66,7 +68,7 @@
         return connection
 
     monkeypatch.setattr(loop, "create_connection", async_connect_then_pause)
-    await task._async_look_then_send(engine, EngineOrder("engine-1", 3, ()))
+    await task._async_verify_then_send(engine, EngineOrder("engine-1", 3, ()))
     monkeypatch.undo()
     assert pauses
     assert await async_get_fencing(engine) == 0
--- a/libraries/daemon/tests/test_owned_calls.py
+++ b/libraries/daemon/tests/test_owned_calls.py
@@ -15,7 +15,7 @@
     RequestRefusedError,
     ResultCode,
 )
-from tarragonward_daemon.calls import ServiceCall, judge_refusal
+from tarragonward_daemon.calls import ServiceCall, translate_refusal
 from tarragonward_daemon.owned_calls import OwnedCalls
 from tarragonward_requests import mint_key_prefix, parse_key
 from tarragonward_standins import ServiceStandIn
@@ -161,7 +161,7 @@
     Told "not run", the clerk would book again under a new key.
     """
     refusal = RequestRefusedError(code)
-    assert judge_refusal(refusal, has_key=False).code is code
-    keyed = judge_refusal(refusal, has_key=True)
+    assert translate_refusal(refusal, has_key=False).code is code
+    keyed = translate_refusal(refusal, has_key=True)
     assert keyed.code.conclusion is Conclusion.UNKNOWN
     assert keyed.retry_after_seconds
