--- a/libraries/daemon/tarragonward_daemon/answers.py
+++ b/libraries/daemon/tarragonward_daemon/answers.py
@@ -10,7 +10,10 @@
 
 __all__ = ["CompletionAnswer"]
 
-EVENT_STREAM = {"content-type": "text/event-stream", "cache-control": "no-cache"}
+EVENT_STREAM_HEADERS = {
+    "content-type": "text/event-stream",
+    "cache-control": "no-cache",
+}
 
 
 class CompletionAnswer:
@@ -64,7 +67,7 @@
 
     def _start(self) -> None:
         if not self._responder.is_started:
-            self._responder.start(200, {**EVENT_STREAM, **self._headers})
+            self._responder.start(200, {**EVENT_STREAM_HEADERS, **self._headers})
 
     async def _async_end_with_error(self, end: EndRequest) -> None:
         if not self._responder.is_started:
--- a/libraries/daemon/tarragonward_daemon/app.py
+++ b/libraries/daemon/tarragonward_daemon/app.py
@@ -33,8 +33,8 @@
     def __init__(self, settings: Settings) -> None:
         identity = HostIdentity(settings.peers, new_incarnation())
         self.host = HostState(settings, identity)
-        self._drain_asked = asyncio.Event()
-        self._stop_asked = asyncio.Event()
+        self._drain_requested = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self.unfinished_requests = 0
         self._build_tasks()
 
@@ -99,23 +99,23 @@
 
     def request_drain(self) -> None:
         """Leave the balancer, end what is in progress, then stop; twice: stop now."""
-        if self._drain_asked.is_set():
-            self._stop_asked.set()
-        self._drain_asked.set()
+        if self._drain_requested.is_set():
+            self._stop_requested.set()
+        self._drain_requested.set()
 
     async def async_run(self) -> None:
         """Serve until drained or stopped."""
         async with AsyncExitStack() as stack:
-            for part in self._get_parts():
-                await part.async_setup()
-                stack.push_async_callback(part.async_unload)
+            for component in self._get_components():
+                await component.async_setup()
+                stack.push_async_callback(component.async_unload)
             stack.push_async_callback(self.links.async_unload)
             log_event("host_started", identity=self.host.identity)
-            await self._drain_asked.wait()
+            await self._drain_requested.wait()
             await self._async_drain()
         log_event("host_stopped", identity=self.host.identity)
 
-    def _get_parts(self) -> list[Any]:
+    def _get_components(self) -> list[Any]:
         return [
             self.configuration,
             self.membership,
@@ -136,7 +136,7 @@
         """Wait until all requests in progress have ended, or the time is over."""
         self.membership.set_leaving()
         log_event("drain_started", in_flight=self.host.requests_in_flight)
-        stopped = asyncio.create_task(self._stop_asked.wait())
+        stopped = asyncio.create_task(self._stop_requested.wait())
         drained = asyncio.create_task(self._async_wait_idle())
         timeout = self.host.settings.limits.drain_timeout_seconds
         await asyncio.wait(
--- a/libraries/daemon/tarragonward_daemon/callers.py
+++ b/libraries/daemon/tarragonward_daemon/callers.py
@@ -28,7 +28,7 @@
     c.ROUTE_KEY_PREFIX: ("GET", "POST"),
     c.ROUTE_MODELS: ("GET",),
 }
-PREFIX_METHODS = {f"{c.ROUTE_MODELS}/": ("GET",), c.ROUTE_SERVICES: ("POST",)}
+METHODS_BY_PREFIX = {f"{c.ROUTE_MODELS}/": ("GET",), c.ROUTE_SERVICES: ("POST",)}
 PARSERS = {c.ROUTE_CHAT: parse_chat, c.ROUTE_COMPLETIONS: parse_completion}
 
 
@@ -111,17 +111,17 @@
             prefix = {"key_prefix": context.headers[c.HEADER_KEY_PREFIX]}
             await responder.async_send_json(200, prefix, context.headers)
         else:
-            models = self._show_models(request.path)
+            models = self._build_models(request.path)
             await responder.async_send_json(200, models, context.headers)
 
     def _read_time_limit(self, head: HttpHead) -> float:
         """Return the seconds that the caller gives its request, at most the limit."""
         limits = self._host.settings.limits
-        text = head.headers.get(c.HEADER_TIME_LIMIT)
-        if text is None:
+        value = head.headers.get(c.HEADER_TIME_LIMIT)
+        if value is None:
             return limits.time_limit_seconds
         try:
-            seconds = float(text)
+            seconds = float(value)
         except ValueError:
             seconds = math.nan
         if not math.isfinite(seconds):
@@ -131,7 +131,7 @@
             raise RequestRefusedError(ResultCode.DEADLINE_IN_PAST)
         return min(seconds, limits.max_time_limit_seconds)
 
-    def _show_models(self, path: str) -> dict[str, Any]:
+    def _build_models(self, path: str) -> dict[str, Any]:
         models = {
             name: {"id": name, "object": "model", "owned_by": "operators", "created": 0}
             for name in self._host.configuration.models
@@ -219,7 +219,7 @@
 
 def _check_route(head: HttpHead) -> None:
     methods = METHODS.get(head.path)
-    for prefix, prefix_methods in PREFIX_METHODS.items():
+    for prefix, prefix_methods in METHODS_BY_PREFIX.items():
         if head.path.startswith(prefix):
             methods = prefix_methods
     if methods is None:
--- a/libraries/daemon/tarragonward_daemon/calls.py
+++ b/libraries/daemon/tarragonward_daemon/calls.py
@@ -40,7 +40,7 @@
 
 DIGEST_SEPARATOR = b"\0"
 # Codes that a host gives before it has looked at a key, or without being its owner.
-UNFOUNDED_CODES = frozenset(
+CODES_WITHOUT_KEY_LOOKUP = frozenset(
     {
         ResultCode.ACCOUNT_LIMIT,
         ResultCode.DRAINING,
@@ -184,7 +184,7 @@
         """Ask the owner, again where the link was lost: the owner runs it once."""
         for _ in range(c.FORWARD_ATTEMPTS):
             try:
-                return await self._async_ask_owner(call, key)
+                return await self._async_request_owner(call, key)
             except NotConnectedError as err:
                 # An earlier copy of the call may have reached the owner through
                 # another host, so not even this proves that it did not run.
@@ -197,7 +197,7 @@
             )
         return _reply_unknown()
 
-    async def _async_ask_owner(self, call: ServiceCall, key: CallKey) -> Reply:
+    async def _async_request_owner(self, call: ServiceCall, key: CallKey) -> Reply:
         deadline = call.deadline - c.FORWARD_MARGIN_SECONDS
         remaining = deadline - asyncio.get_running_loop().time()
         if remaining <= 0:
@@ -233,7 +233,7 @@
     clerk's repeat is told "not run" of a booking that ran before, and books again with
     a new key. Where there is a key, only its owner may say so.
     """
-    if not has_key or err.code not in UNFOUNDED_CODES:
+    if not has_key or err.code not in CODES_WITHOUT_KEY_LOOKUP:
         return err
     return RequestRefusedError(
         ResultCode.OUTCOME_UNKNOWN,
--- a/libraries/daemon/tarragonward_daemon/completions.py
+++ b/libraries/daemon/tarragonward_daemon/completions.py
@@ -81,7 +81,7 @@
     return "".join(texts)
 
 
-def _count_messages(value: Any) -> list[Any]:
+def _limit_messages(value: Any) -> list[Any]:
     # Checking each message takes some microseconds. Symptom of no bound: a body of
     # 16 MB of empty messages stops all streams of the host for seconds.
     if not isinstance(value, list) or not 1 <= len(value) <= MAX_MESSAGES:
@@ -129,7 +129,7 @@
 CHAT_SCHEMA = vol.Schema(
     {
         vol.Required("messages"): vol.All(
-            _count_messages,
+            _limit_messages,
             [
                 vol.Schema(
                     {vol.Required("role"): str, vol.Required("content"): _text_content},
@@ -157,8 +157,10 @@
 def parse_chat(body: bytes) -> Completion:
     """Return the request in a body of /v1/chat/completions; refuse if not valid."""
     data = _parse(body, CHAT_SCHEMA)
-    turns = [f"{turn['role']}: {turn['content']}\n" for turn in data["messages"]]
-    return _build(data, "".join(turns) + "assistant:", is_chat=True)
+    lines = [
+        f"{message['role']}: {message['content']}\n" for message in data["messages"]
+    ]
+    return _build(data, "".join(lines) + "assistant:", is_chat=True)
 
 
 def fit_to_context(completion: Completion, context_tokens: int) -> Completion:
@@ -167,15 +169,15 @@
     Prompt and answer share context_tokens. An answer length that the caller named is
     never cut: it would get a shorter answer than the one it counts on.
     """
-    room = context_tokens - completion.prompt_tokens
-    wanted = completion.max_tokens if completion.is_max_tokens_given else 1
-    if room < wanted:
+    available_tokens = context_tokens - completion.prompt_tokens
+    min_answer_tokens = completion.max_tokens if completion.is_max_tokens_given else 1
+    if available_tokens < min_answer_tokens:
         raise RequestRefusedError(
             ResultCode.PROMPT_TOO_LONG,
             f"The prompt of {completion.prompt_tokens} tokens and an answer of"
-            f" {wanted} are over the model's {context_tokens}.",
+            f" {min_answer_tokens} are over the model's {context_tokens}.",
         )
-    return replace(completion, max_tokens=min(completion.max_tokens, room))
+    return replace(completion, max_tokens=min(completion.max_tokens, available_tokens))
 
 
 def _parse(body: bytes, schema: vol.Schema) -> dict[str, Any]:
--- a/libraries/daemon/tarragonward_daemon/configuration.py
+++ b/libraries/daemon/tarragonward_daemon/configuration.py
@@ -46,7 +46,7 @@
 )
 LOG_ROUTE = "/v1/configuration/log"
 SNAPSHOT_ROUTE = "/v1/configuration/snapshot"
-SHOWN_PATCHES = 16
+MAX_LISTED_PATCHES = 16
 
 
 class ConfigurationTask:
@@ -62,10 +62,10 @@
         self._host = host
         self.history = ConfigurationHistory()
         self.peers = ConfigurationPeers(
-            host, links, membership, self.history, self._show_taken
+            host, links, membership, self.history, self._apply_result
         )
         self._replicas = itertools.cycle(host.settings.configuration)
-        self._catch_up = asyncio.Event()
+        self._catch_up_requested = asyncio.Event()
         self._background = BackgroundTasks(host.metrics)
         self._is_admitting = False
         host.add_status_section("patches", self._list_patches)
@@ -73,7 +73,7 @@
     async def async_setup(self) -> None:
         """Start to watch and to exchange with peers."""
         self._background.start("configuration", self._async_run)
-        self._background.start("configuration_exchange", self._async_exchange)
+        self._background.start("configuration_exchange", self._async_pull_from_peers)
 
     async def async_unload(self) -> None:
         """Stop."""
@@ -93,14 +93,14 @@
                 "verdict": record.verdict.value,
                 "reason": record.reason,
             }
-            for record in self.verdicts[-SHOWN_PATCHES:]
+            for record in self.verdicts[-MAX_LISTED_PATCHES:]
         ]
 
     def record_fencing(self, number: int) -> None:
         """Note an engine's fencing number; a higher one shows that ours is stale."""
         self.history.raise_floor(number)
         if self.history.is_below_floor:
-            self._catch_up.set()
+            self._catch_up_requested.set()
 
     async def async_verify_newest(self) -> bool:
         """Look at all replicas of the service; tell whether ours is their newest state.
@@ -114,20 +114,20 @@
             try:
                 newest = max(newest, await self._async_read_log(replica, wait=0.0))
             except READ_ERRORS as err:
-                self._log_failure(replica, err)
+                self._log_read_failure(replica, err)
         return newest >= self.history.sequence
 
     async def _async_run(self) -> None:
-        await self._async_start()
+        await self._async_find_initial_state()
         while True:
             replica = next(self._replicas)
             try:
                 await self._async_read_log(replica, c.CONFIGURATION_WATCH_SECONDS)
             except READ_ERRORS as err:
-                self._log_failure(replica, err)
-                await _async_pause()
+                self._log_read_failure(replica, err)
+                await _async_wait_before_retry()
 
-    async def _async_start(self) -> None:
+    async def _async_find_initial_state(self) -> None:
         """Find the newest state in reach before any work is admitted.
 
         A replica that lags, or a platform back from an old backup, shows a new host
@@ -136,12 +136,12 @@
         engines' fencing numbers show that there was one, and the host waits for it.
         """
         while not self._is_admitting:
-            await self._async_read_any_snapshot()
+            await self._async_read_first_snapshot()
             await self.peers.async_pull_from_many()
             await self._async_read_fencing()
             if not self.history.is_below_floor:
                 self._is_admitting = True
-                self._put_in_force()
+                self._activate()
                 return
             self._host.metrics.count("configuration_below_floor")
             log_event(
@@ -153,19 +153,19 @@
                 c.CONFIGURATION_RETRY_DELAY_SECONDS * random.uniform(0.5, 1.5)
             )
 
-    async def _async_read_any_snapshot(self) -> None:
+    async def _async_read_first_snapshot(self) -> None:
         for _ in self._host.settings.configuration:
             replica = next(self._replicas)
             try:
                 await self._async_read_snapshot(replica)
                 return
             except READ_ERRORS as err:
-                self._log_failure(replica, err)
+                self._log_read_failure(replica, err)
 
     async def _async_read_snapshot(self, replica: Address) -> None:
         data = await self._async_get(replica, SNAPSHOT_ROUTE, 0.0)
         state = build_state(data["sequence"], data["number"], data["document"])
-        self._show_taken(self.history.take_snapshot(state), str(replica))
+        self._apply_result(self.history.take_snapshot(state), str(replica))
         if state.sequence > 0 and state.sequence == self.history.sequence:
             path = f"{LOG_ROUTE}?after={state.sequence - 1}&wait=0"
             entries = (await self._async_get(replica, path, 0.0))["entries"]
@@ -200,23 +200,23 @@
             data = await self._async_get(replica, path, 0.0)
             entries = [parse_entry(item) for item in data["entries"]]
         taken = self.history.extend(entries)
-        self._show_taken(taken, str(replica))
+        self._apply_result(taken, str(replica))
         return taken
 
-    def _show_taken(self, taken: Taken, source: str) -> None:
+    def _apply_result(self, taken: Taken, source: str) -> None:
         """Put in force what was taken over, and make what was refused visible."""
         for judgement in taken.judgements:
-            self._show_judgement(judgement)
+            self._report_judgement(judgement)
         if taken.outcome is Outcome.FORK:
             self._host.metrics.count("configuration_forks")
             log_event(
                 "configuration_fork", source=source, sequence=self.history.sequence
             )
         if taken.outcome is Outcome.TAKEN:
-            self._put_in_force()
+            self._activate()
             self.peers.push(taken)
 
-    def _show_judgement(self, judgement: Judgement) -> None:
+    def _report_judgement(self, judgement: Judgement) -> None:
         verdict = judgement.verdict
         self._host.metrics.count("configuration_verdicts", verdict.value)
         log_event(
@@ -228,7 +228,7 @@
             reason=judgement.reason or None,
         )
 
-    def _put_in_force(self) -> None:
+    def _activate(self) -> None:
         state = self.history.state
         if not self._is_admitting or state is None:
             return
@@ -239,16 +239,16 @@
             "configuration_in_force", number=state.number, sequence=state.sequence
         )
 
-    async def _async_exchange(self) -> None:
+    async def _async_pull_from_peers(self) -> None:
         while True:
             pause = c.CONFIGURATION_PULL_INTERVAL_SECONDS * random.uniform(0.75, 1.25)
             try:
                 async with asyncio.timeout(pause):
-                    await self._catch_up.wait()
+                    await self._catch_up_requested.wait()
                 await asyncio.sleep(c.CONFIGURATION_RETRY_DELAY_SECONDS)
             except TimeoutError:
                 pass
-            self._catch_up.clear()
+            self._catch_up_requested.clear()
             if self._is_admitting:
                 await self.peers.async_pull_one()
                 if self.history.is_below_floor:
@@ -259,13 +259,13 @@
         state = self.history.state
         if state is None:
             return
-        engines = [t for t in state.configuration.targets.values() if t.models]
+        engine_targets = [t for t in state.configuration.targets.values() if t.models]
         domain = self._host.settings.failure_domain
-        random.shuffle(engines)
-        engines.sort(key=lambda engine: engine.failure_domain != domain)
-        chosen = engines[: c.MAX_FENCING_READS]
+        random.shuffle(engine_targets)
+        engine_targets.sort(key=lambda engine: engine.failure_domain != domain)
+        chosen = engine_targets[: c.MAX_FENCING_READS]
         addresses = [engine.address for engine in chosen]
-        for number in await _async_gather_fencing(addresses):
+        for number in await _async_read_all_fencing(addresses):
             self.history.raise_floor(number)
 
     async def _async_get(self, replica: Address, path: str, wait: float) -> Any:
@@ -281,12 +281,12 @@
             raise TargetError(f"{replica} answered {answer.status}")
         return answer.parse_json()
 
-    def _log_failure(self, replica: Address, err: Exception) -> None:
+    def _log_read_failure(self, replica: Address, err: Exception) -> None:
         self._host.metrics.count("configuration_read_failures")
         log_event("configuration_read_failed", replica=replica, error=repr(err))
 
 
-async def _async_gather_fencing(addresses: Iterable[Address]) -> list[int]:
+async def _async_read_all_fencing(addresses: Iterable[Address]) -> list[int]:
     reads = [_async_read_one_fencing(address) for address in addresses]
     return await asyncio.gather(*reads)
 
@@ -305,7 +305,7 @@
     return max(numbers + ([state.fencing] if state is not None else []))
 
 
-async def _async_pause() -> None:
+async def _async_wait_before_retry() -> None:
     await asyncio.sleep(c.CONFIGURATION_RETRY_DELAY_SECONDS * random.uniform(0.5, 1.5))
 
 
--- a/libraries/daemon/tarragonward_daemon/configuration_peers.py
+++ b/libraries/daemon/tarragonward_daemon/configuration_peers.py
@@ -34,7 +34,7 @@
     "choose_neighbours",
 ]
 
-GONE = frozenset({MemberState.DEAD, MemberState.LEAVING})
+GONE_STATES = frozenset({MemberState.DEAD, MemberState.LEAVING})
 
 
 @register_message
@@ -70,21 +70,21 @@
         links: PeerLinks,
         membership: MembershipTask,
         history: ConfigurationHistory,
-        show_taken: Callable[[Taken, str], None],
+        on_result: Callable[[Taken, str], None],
     ) -> None:
         self._host = host
         self._links = links
         self._membership = membership
         self._history = history
-        self._show_taken = show_taken
-        self._pushing: set[asyncio.Task[None]] = set()
-        self._catching_up: asyncio.Task[None] | None = None
+        self._on_result = on_result
+        self._push_tasks: set[asyncio.Task[None]] = set()
+        self._catch_up_task: asyncio.Task[None] | None = None
 
     async def async_unload(self) -> None:
         """End what is being pushed and pulled."""
-        tasks = list(self._pushing)
-        if self._catching_up is not None:
-            tasks.append(self._catching_up)
+        tasks = list(self._push_tasks)
+        if self._catch_up_task is not None:
+            tasks.append(self._catch_up_task)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -94,13 +94,13 @@
         entries = [judgement.entry for judgement in taken.judgements]
         if not entries:
             return
-        news = self._build_news(tuple(entries), b"")
-        if len(news.entries) > c.MAX_PUSH_BYTES:
+        update = self._build_update(tuple(entries), b"")
+        if len(update.entries) > c.MAX_PUSH_BYTES:
             return
         for member in self._choose_neighbours():
-            task = asyncio.create_task(self._async_push(member.listed.address, news))
-            self._pushing.add(task)
-            task.add_done_callback(self._pushing.discard)
+            task = asyncio.create_task(self._async_push(member.listed.address, update))
+            self._push_tasks.add(task)
+            task.add_done_callback(self._push_tasks.discard)
 
     async def async_pull_from_many(self) -> None:
         """Ask several hosts for what they have; bounded in time where cut off."""
@@ -122,64 +122,66 @@
         Neighbours are fixed. Where all five are out of reach, a patch would wait for
         the platform, though hosts that this one still gossips with have it.
         """
-        if sequence <= self._history.sequence or self._catching_up is not None:
+        if sequence <= self._history.sequence or self._catch_up_task is not None:
             return
-        self._catching_up = asyncio.create_task(self._async_catch_up(address))
+        self._catch_up_task = asyncio.create_task(self._async_catch_up(address))
 
     async def _async_catch_up(self, address: Address) -> None:
         try:
             await self._async_pull(address)
         finally:
-            self._catching_up = None
+            self._catch_up_task = None
 
     def answer_pull(self, message: PullConfiguration) -> ConfigurationNews:
         """Return what is new to the host that asks."""
         self._compare_digest(message.sequence, message.digest, "peer")
         if message.sequence >= self._history.sequence:
-            return self._build_news((), b"")
+            return self._build_update((), b"")
         entries = self._history.get_entries_after(message.sequence)
         if message.sequence >= 0 and entries is not None:
-            return self._build_news(entries, b"")
-        return self._build_news((), self._encode_snapshot())
+            return self._build_update(entries, b"")
+        return self._build_update((), self._encode_snapshot())
 
-    def apply_update(self, news: ConfigurationNews, source: str) -> Outcome:
+    def apply_update(self, update: ConfigurationNews, source: str) -> Outcome:
         """Take over what a peer has; raise ConfigurationError where it is not valid."""
-        self._compare_digest(news.sequence, news.digest, source)
-        if news.snapshot:
-            data = orjson.loads(news.snapshot)
-            state = build_state(news.sequence, news.number, data)
+        self._compare_digest(update.sequence, update.digest, source)
+        if update.snapshot:
+            data = orjson.loads(update.snapshot)
+            state = build_state(update.sequence, update.number, data)
             taken = self._history.take_snapshot(state)
         else:
-            taken = self._history.extend(decode_entries(news.entries or b"[]"))
-        self._show_taken(taken, source)
+            taken = self._history.extend(decode_entries(update.entries or b"[]"))
+        self._on_result(taken, source)
         return taken.outcome
 
-    async def async_handle_update(self, news: ConfigurationNews, peer: Address) -> None:
+    async def async_handle_update(
+        self, update: ConfigurationNews, peer: Address
+    ) -> None:
         """Take over what a peer pushed; ask it for what lies between where needed."""
-        outcome = self.apply_update(news, str(peer))
+        outcome = self.apply_update(update, str(peer))
         if outcome is Outcome.GAP:
             await self._async_pull(peer)
 
     async def _async_pull(self, address: Address) -> None:
-        question = PullConfiguration(self._history.sequence, self._history.digest)
+        request = PullConfiguration(self._history.sequence, self._history.digest)
         try:
-            news = await self._links.async_request(
+            update = await self._links.async_request(
                 address,
-                question,
+                request,
                 c.CONFIGURATION_PEER_TIMEOUT_SECONDS,
                 inactivity_timeout=c.CONFIGURATION_PEER_TIMEOUT_SECONDS,
             )
-            if isinstance(news, ConfigurationNews):
-                self.apply_update(news, str(address))
+            if isinstance(update, ConfigurationNews):
+                self.apply_update(update, str(address))
         except TargetError:
             return
         except (ConfigurationError, ValueError) as err:
             log_event("configuration_news_refused", peer=address, error=repr(err))
 
-    async def _async_push(self, address: Address, news: ConfigurationNews) -> None:
+    async def _async_push(self, address: Address, update: ConfigurationNews) -> None:
         try:
             await self._links.async_notify(
-                address, news, c.CONFIGURATION_PEER_TIMEOUT_SECONDS
+                address, update, c.CONFIGURATION_PEER_TIMEOUT_SECONDS
             )
         except TargetError as err:
             log_event("configuration_push_failed", peer=address, error=repr(err))
@@ -201,7 +203,7 @@
         members = self._membership.membership.get_members()
         return choose_neighbours(str(settings.peers), settings.failure_domain, members)
 
-    def _build_news(
+    def _build_update(
         self, entries: tuple[LogEntry, ...], snapshot: bytes
     ) -> ConfigurationNews:
         state = self._history.state
@@ -221,21 +223,26 @@
         if sequence < 0 or sequence != self._history.sequence:
             return
         if digest != self._history.digest:
-            self._show_taken(Taken(Outcome.FORK), source)
+            self._on_result(Taken(Outcome.FORK), source)
 
 
 def choose_neighbours(
-    ours: str, failure_domain: str, members: list[Member]
+    own_address: str, failure_domain: str, members: list[Member]
 ) -> list[Member]:
     """Return the members that a host exchanges with, those that are gone last."""
     ranked = sorted(
         members,
-        key=lambda m: (m.state in GONE, _score(ours, str(m.listed.address))),
+        key=lambda m: (
+            m.state in GONE_STATES,
+            _score(own_address, str(m.listed.address)),
+        ),
     )
-    near = [m for m in ranked if m.listed.failure_domain == failure_domain]
-    far = [m for m in ranked if m.listed.failure_domain != failure_domain]
-    return near[: c.LOCAL_NEIGHBOURS] + far[: c.REMOTE_NEIGHBOURS]
+    local = [m for m in ranked if m.listed.failure_domain == failure_domain]
+    remote = [m for m in ranked if m.listed.failure_domain != failure_domain]
+    return local[: c.LOCAL_NEIGHBOURS] + remote[: c.REMOTE_NEIGHBOURS]
 
 
-def _score(ours: str, theirs: str) -> bytes:
-    return hashlib.blake2b(f"{ours}|{theirs}".encode(), digest_size=8).digest()
+def _score(own_address: str, peer_address: str) -> bytes:
+    return hashlib.blake2b(
+        f"{own_address}|{peer_address}".encode(), digest_size=8
+    ).digest()
--- a/libraries/daemon/tarragonward_daemon/engine_probes.py
+++ b/libraries/daemon/tarragonward_daemon/engine_probes.py
@@ -65,14 +65,14 @@
         """Watch a stream until forget()."""
         self._streams.add(stream)
 
-    def forget(self, stream: WatchedStream) -> None:
+    def unwatch(self, stream: WatchedStream) -> None:
         """Watch a stream no longer."""
         self._streams.discard(stream)
 
     async def _async_watch(self) -> None:
         while True:
             now = asyncio.get_running_loop().time()
-            for target in self._get_due(now):
+            for target in self._get_due_targets(now):
                 if target.name not in self._probes:
                     task = asyncio.create_task(self._async_probe(target))
                     self._probes[target.name] = task
@@ -81,7 +81,7 @@
                     )
             await asyncio.sleep(c.PROBE_CHECK_INTERVAL_SECONDS)
 
-    def _get_due(self, now: float) -> list[Target]:
+    def _get_due_targets(self, now: float) -> list[Target]:
         due = {s.target.name: s.target for s in self._streams if _is_silent(s, now)}
         state = self._host.configuration_state
         if state is not None:
@@ -93,7 +93,7 @@
 
     async def _async_probe(self, target: Target) -> None:
         loop = asyncio.get_running_loop()
-        began_at = loop.time()
+        started_at = loop.time()
         try:
             answer = await async_send_http(
                 target.address, "GET", "/v1/load", timeout=c.PROBE_TIMEOUT_SECONDS
@@ -103,15 +103,15 @@
             report, error = None, repr(err)
         now = loop.time()
         self._outliers.record_probe(target.name, report is not None, now)
-        self._judge_streams(target, report, began_at)
+        self._check_streams(target, report, started_at)
         if report is None:
             log_event("probe_failed", target=target.name, reason=error)
         await asyncio.sleep(c.PROBE_INTERVAL_SECONDS)
 
-    def _judge_streams(self, target: Target, report: Any, began_at: float) -> None:
+    def _check_streams(self, target: Target, report: Any, started_at: float) -> None:
         for stream in list(self._streams):
             # Streams that were not silent when the probe began are not judged by it.
-            if stream.target.name != target.name or not _is_silent(stream, began_at):
+            if stream.target.name != target.name or not _is_silent(stream, started_at):
                 continue
             if report is None:
                 stream.interrupt(EngineSilentError(f"{target.name} is silent"))
@@ -121,5 +121,5 @@
 
 
 def _is_silent(stream: WatchedStream, now: float) -> bool:
-    since = stream.silent_since
-    return since is not None and now - since >= c.ENGINE_SILENCE_SECONDS
+    silent_since = stream.silent_since
+    return silent_since is not None and now - silent_since >= c.ENGINE_SILENCE_SECONDS
--- a/libraries/daemon/tarragonward_daemon/engines.py
+++ b/libraries/daemon/tarragonward_daemon/engines.py
@@ -37,8 +37,8 @@
     "get_fault",
 ]
 
-HTTP_GONE = frozenset({404, 410})
-HTTP_REFUSED = frozenset({429, 503, 507})
+GONE_STATUSES = frozenset({404, 410})
+REFUSED_STATUSES = frozenset({429, 503, 507})
 
 
 class EngineRefusedError(TargetError):
@@ -130,9 +130,9 @@
         if status == 200:
             return
         message = f"{self.target.name} answered {status}"
-        if status in HTTP_REFUSED:
+        if status in REFUSED_STATUSES:
             raise EngineRefusedError(message)
-        if status in HTTP_GONE:
+        if status in GONE_STATUSES:
             raise StreamGoneError(message)
         raise TargetError(message)
 
@@ -145,9 +145,9 @@
     Raise ConnectionLostError where it breaks off, TargetError where it says what is
     not understood. How long it may stay silent is for EngineProbes to say.
     """
-    rest = b""
+    remainder = b""
     async for chunk in stream.async_iterate_chunks():
-        *lines, rest = (rest + chunk).split(b"\n")
+        *lines, remainder = (remainder + chunk).split(b"\n")
         for item in _join_lines(lines):
             yield item
 
@@ -155,22 +155,24 @@
 def _join_lines(lines: list[bytes]) -> list[StreamText | StreamEnd]:
     joined: list[StreamText | StreamEnd] = []
     pieces: list[str] = []
-    first = 0
+    first_offset = 0
     try:
         for item in (orjson.loads(line) for line in lines if line):
             is_text = "text" in item
-            if pieces and not (is_text and item["offset"] == first + len(pieces)):
-                joined.append(StreamText(first, tuple(pieces)))
+            if pieces and not (
+                is_text and item["offset"] == first_offset + len(pieces)
+            ):
+                joined.append(StreamText(first_offset, tuple(pieces)))
                 pieces = []
             if is_text:
-                first = first if pieces else int(item["offset"])
+                first_offset = first_offset if pieces else int(item["offset"])
                 pieces.append(str(item["text"]))
             else:
                 joined.append(StreamEnd(int(item["tokens"]), item["finish_reason"]))
     except (ValueError, KeyError, TypeError) as err:
         raise TargetError(f"the engine's stream is not valid: {err!r}") from None
     if pieces:
-        joined.append(StreamText(first, tuple(pieces)))
+        joined.append(StreamText(first_offset, tuple(pieces)))
     return joined
 
 
@@ -204,11 +206,11 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _start(self, target: Target, route: str, held_id: str) -> None:
-        if held_id in self._tasks.values():
+    def _start(self, target: Target, route: str, resource_id: str) -> None:
+        if resource_id in self._tasks.values():
             return
-        task = asyncio.create_task(self._async_cancel(target, route + held_id))
-        self._tasks[task] = held_id
+        task = asyncio.create_task(self._async_cancel(target, route + resource_id))
+        self._tasks[task] = resource_id
         task.add_done_callback(self._tasks.pop)
 
     async def _async_cancel(self, target: Target, path: str) -> None:
@@ -217,9 +219,9 @@
         # answered is enough: it is idempotent, jitter keeps many hosts' repeats apart,
         # and what outlives the limit is found by the sweep.
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + c.CANCEL_RETRY_LIMIT_SECONDS
+        retry_until = loop.time() + c.CANCEL_RETRY_LIMIT_SECONDS
         delay = c.CANCEL_RETRY_DELAY_SECONDS
-        while loop.time() < give_up_at:
+        while loop.time() < retry_until:
             try:
                 await async_send_http(
                     target.address, "DELETE", path, timeout=c.CANCEL_TIMEOUT_SECONDS
--- a/libraries/daemon/tarragonward_daemon/gossip.py
+++ b/libraries/daemon/tarragonward_daemon/gossip.py
@@ -76,7 +76,7 @@
         address = Address(message.host, message.port)
         now = asyncio.get_running_loop().time()
         probe = self._membership.build_gossip(address, now)
-        answer = await self._async_ask(address, probe, c.GOSSIP_TIMEOUT_SECONDS)
+        answer = await self._async_request(address, probe, c.GOSSIP_TIMEOUT_SECONDS)
         if not isinstance(answer, Gossip):
             return IndirectAck(())
         identity = self._links.get_peer(address)
@@ -91,27 +91,27 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _async_probe(self, effect: SendProbe) -> None:
-        answer = await self._async_ask(
+        answer = await self._async_request(
             effect.address, effect.message, c.GOSSIP_TIMEOUT_SECONDS
         )
         if not isinstance(answer, Gossip):
             self.handle(ProbeFailed(effect.probe_id))
             return
-        with self._refuse_bad(effect.address):
+        with self._drop_invalid(effect.address):
             self.handle(ProbeAnswered(effect.probe_id, answer))
 
-    async def _async_ask_helper(self, effect: RequestIndirectProbe) -> None:
-        question = IndirectProbe(effect.address.host, effect.address.port)
-        answer = await self._async_ask(
-            effect.helper, question, c.INDIRECT_PROBE_TIMEOUT_SECONDS
+    async def _async_request_indirect_probe(self, effect: RequestIndirectProbe) -> None:
+        request = IndirectProbe(effect.address.host, effect.address.port)
+        answer = await self._async_request(
+            effect.helper, request, c.INDIRECT_PROBE_TIMEOUT_SECONDS
         )
         if isinstance(answer, IndirectAck) and answer.record:
-            with self._refuse_bad(effect.helper):
+            with self._drop_invalid(effect.helper):
                 record = MemberRecord.unpack(answer.record)
                 self.handle(IndirectProbeAnswered(effect.probe_id, record))
 
     @contextmanager
-    def _refuse_bad(self, peer: Address) -> Iterator[None]:
+    def _drop_invalid(self, peer: Address) -> Iterator[None]:
         """Drop what a peer of another version may say, and go on."""
         try:
             yield
@@ -119,7 +119,9 @@
             self._host.metrics.count("bad_frames", type(err).__name__)
             log_event("frame_refused", peer=peer, code=err.code.number, error=err)
 
-    async def _async_ask(self, address: Address, message: Any, timeout: float) -> Any:
+    async def _async_request(
+        self, address: Address, message: Any, timeout: float
+    ) -> Any:
         try:
             return await self._links.async_request(address, message, timeout)
         except (TargetError, FrameError):
@@ -142,7 +144,7 @@
 
 @_apply.register
 def _(effect: RequestIndirectProbe, gossip: GossipTransport) -> None:
-    gossip._start(gossip._async_ask_helper(effect))
+    gossip._start(gossip._async_request_indirect_probe(effect))
 
 
 @_apply.register
--- a/libraries/daemon/tarragonward_daemon/groups.py
+++ b/libraries/daemon/tarragonward_daemon/groups.py
@@ -58,7 +58,7 @@
 
     @asynccontextmanager
     async def async_hold(
-        self, name: str, placed: Placed, tries: int
+        self, name: str, placed: Placed, attempt: int
     ) -> AsyncIterator[dict[str, str]]:
         """Hold all parts while inside; give the reservation ids by engine.
 
@@ -66,9 +66,9 @@
         """
         published = self._host.configuration.targets
         targets = {engine: published[engine] for engine in placed.engines}
-        ids = {engine: f"{name}-{tries}@{engine}" for engine in placed.engines}
+        ids = {engine: f"{name}-{attempt}@{engine}" for engine in placed.engines}
         members = list(map(GroupMember, placed.engines, placed.parts))
-        group = GroupReservation(members, tries)
+        group = GroupReservation(members, attempt)
         with ExitStack() as stack:
             self._active_ids.update(ids.values())
             stack.callback(self._active_ids.difference_update, ids.values())
@@ -88,7 +88,7 @@
         ids: Mapping[str, str],
         targets: Mapping[str, Target],
     ) -> list[GroupEffect]:
-        following: list[GroupEffect] = []
+        next_effects: list[GroupEffect] = []
         for effect in effects:
             match effect:
                 case ReservePart(member):
@@ -96,14 +96,14 @@
                         targets[member.engine], ids[member.engine], member.tokens
                     )
                     kind = ReservationGranted if granted else ReservationRefused
-                    following += group.handle(kind(member.engine))
+                    next_effects += group.handle(kind(member.engine))
                 case ReleasePart(engine):
                     self._releases.release_reservation(targets[engine], ids[engine])
                 case RetryGroup(max_delay):
                     raise GroupRefusedError(max_delay)
                 case GroupReady():
                     pass
-        return following
+        return next_effects
 
     async def _async_reserve(
         self, target: Target, reservation_id: str, tokens: int
@@ -155,7 +155,7 @@
         A group that others have in part is asked for again, with fresh knowledge and
         after a random delay, until the request's deadline cancels the task.
         """
-        tries = 0
+        attempt = 0
         while True:
             await self.async_release()
             placed = place()
@@ -164,13 +164,13 @@
             self._placed = placed
             if len(placed.engines) == 1:
                 return placed
-            holding = self._groups.async_hold(name, placed, tries)
+            reservation = self._groups.async_hold(name, placed, attempt)
             try:
-                self._ids = await self._stack.enter_async_context(holding)
+                self._ids = await self._stack.enter_async_context(reservation)
                 return placed
             except GroupRefusedError as err:
                 await asyncio.sleep(err.max_delay_seconds * random.random())
-                tries += 1
+                attempt += 1
 
     async def async_release(self) -> None:
         """Release what is held; nothing where nothing is."""
--- a/libraries/daemon/tarragonward_daemon/loads.py
+++ b/libraries/daemon/tarragonward_daemon/loads.py
@@ -44,31 +44,33 @@
         configuration = self._host.configuration
         if configuration.parallel_loads is None:
             return True
-        self._forget_other_number(orders[engine.name].fencing)
+        self._reset_for_number(orders[engine.name].fencing)
         # The caller has just seen that it lacks its weights: an engine may have loaded,
         # died and come back cold. Held for loaded, it would never get a turn.
         self._loaded.discard(engine.name)
         domains = {configuration.targets[name].failure_domain for name in orders}
         limit = math.ceil(configuration.parallel_loads / len(domains))
-        wanted = [
+        pending = [
             PendingModelLoad(name, engine.failure_domain)
             for name in orders
             if configuration.targets[name].failure_domain == engine.failure_domain
         ]
-        passed: set[str] = set()
-        waiting: set[str] = set()
+        done: set[str] = set()
+        occupying: set[str] = set()
         while True:
-            chosen = choose_loads(wanted, self._loaded | passed, limit)
-            unread = [name for name in chosen if name not in waiting]
-            if engine.name in chosen or not unread:
+            chosen = choose_loads(pending, self._loaded | done, limit)
+            unchecked = [name for name in chosen if name not in occupying]
+            if engine.name in chosen or not unchecked:
                 return engine.name in chosen
-            reads = [self._async_has_turn(name, orders[name]) for name in unread]
-            for name, has_turn in zip(
-                unread, await asyncio.gather(*reads), strict=True
+            reads = [
+                self._async_occupies_slot(name, orders[name]) for name in unchecked
+            ]
+            for name, occupies in zip(
+                unchecked, await asyncio.gather(*reads), strict=True
             ):
-                (waiting if has_turn else passed).add(name)
+                (occupying if occupies else done).add(name)
 
-    async def _async_has_turn(self, name: str, order: EngineOrder) -> bool:
+    async def _async_occupies_slot(self, name: str, order: EngineOrder) -> bool:
         """Return whether an engine takes up a turn; remember that it has loaded."""
         try:
             state = await self._async_read_state(self._host.configuration.targets[name])
@@ -79,7 +81,7 @@
             return False
         return True
 
-    def _forget_other_number(self, number: int) -> None:
+    def _reset_for_number(self, number: int) -> None:
         if number != self._number:
             self._number = number
             self._loaded.clear()
--- a/libraries/daemon/tarragonward_daemon/membership.py
+++ b/libraries/daemon/tarragonward_daemon/membership.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class _ReadList:
+class _HostList:
     """A host list as a replica gave it, under its tag."""
 
     entries: tuple[ListedHost, ...]
@@ -73,8 +73,8 @@
         self._targets = TargetList()
         self._transport = GossipTransport(host, self.membership)
         self._replicas = itertools.cycle(host.settings.host_list)
-        self._lists: dict[Address, _ReadList] = {}
-        self._published: Any = None
+        self._lists: dict[Address, _HostList] = {}
+        self._applied_state: Any = None
         self._background = BackgroundTasks(host.metrics)
 
     async def async_setup(self) -> None:
@@ -93,7 +93,7 @@
         A hint: an engine stream of an owner that is alive after all is cancelled
         and started again.
         """
-        return self.membership.is_gone(identity, _get_time())
+        return self.membership.is_gone(identity, _now())
 
     def is_watcher(self, target_name: str) -> bool:
         """Return whether this host is one of the few that watch a target."""
@@ -112,11 +112,11 @@
 
         Under OTHER_ACCOUNTS is the sum of accounts too small to be told apart.
         """
-        return self.membership.get_demand(_get_time())
+        return self.membership.get_demand(_now())
 
     def set_own_demand(self, rates: Mapping[str, float]) -> None:
         """Set this host's own demand in tokens a second by client account."""
-        self.membership.demands.set_own_rates(rates, _get_time())
+        self.membership.demands.set_own_rates(rates, _now())
 
     def set_leaving(self) -> None:
         """Tell the other hosts that this one drains."""
@@ -147,15 +147,15 @@
 
     async def _async_tick(self) -> None:
         while True:
-            self._take_configuration()
+            self._apply_configuration()
             self._transport.handle(Tick())
             await asyncio.sleep(c.MEMBERSHIP_TICK_INTERVAL_SECONDS)
 
-    def _take_configuration(self) -> None:
+    def _apply_configuration(self) -> None:
         state = self._host.configuration_state
-        if state is None or state is self._published:
+        if state is None or state is self._applied_state:
             return
-        self._published = state
+        self._applied_state = state
         own_domain = self._host.settings.failure_domain
         targets = state.configuration.targets.values()
         self.membership.configuration_sequence = state.sequence
@@ -187,37 +187,37 @@
             timeout=c.PLATFORM_TIMEOUT_SECONDS,
         )
         if answer.status == HTTP_NOT_MODIFIED and replica in self._lists:
-            self._take_list(self._lists[replica])
+            self._apply_list(self._lists[replica])
             return
         if answer.status != HTTP_OK:
             raise TargetError(f"{replica} answered {answer.status}")
-        read = parse_list(answer)
-        self._take_list(read)
-        if read.tag:
-            self._lists[replica] = read
-
-    def _take_list(self, read: _ReadList) -> None:
-        self._transport.handle(HostListRead(read.entries))
-        self._targets.apply_list(read.targets, _get_time())
+        host_list = parse_list(answer)
+        self._apply_list(host_list)
+        if host_list.tag:
+            self._lists[replica] = host_list
+
+    def _apply_list(self, host_list: _HostList) -> None:
+        self._transport.handle(HostListRead(host_list.entries))
+        self._targets.apply_list(host_list.targets, _now())
         self._update_leaving()
 
     def _update_leaving(self) -> None:
         state = self._host.configuration_state
         published = () if state is None else state.configuration.targets
-        self.leaving_targets = self._targets.get_leaving(published, _get_time())
+        self.leaving_targets = self._targets.get_leaving(published, _now())
 
 
-def _get_time() -> float:
+def _now() -> float:
     return asyncio.get_running_loop().time()
 
 
-def parse_list(answer: HttpAnswer) -> _ReadList:
+def parse_list(answer: HttpAnswer) -> _HostList:
     """Return the host list that a replica answered, packed or plain."""
     body = answer.body
     if answer.headers.get("content-encoding") == "gzip":
         body = gzip.decompress(body)
     hosts = orjson.loads(body)["hosts"]
-    return _ReadList(
+    return _HostList(
         tuple(_parse_host(item) for item in hosts if item["kind"] == KIND_ENTRY),
         tuple(
             ListedTarget(item["name"], item["state"] == STATE_LEAVING)
--- a/libraries/daemon/tarragonward_daemon/model_run.py
+++ b/libraries/daemon/tarragonward_daemon/model_run.py
@@ -64,7 +64,7 @@
 __all__ = ["ModelRun", "Sink"]
 
 MAX_QUEUED_EVENTS = 16
-PASSING_FAULTS = frozenset({AttemptFault.CONNECTION_LOST, AttemptFault.STREAM_GONE})
+TRANSIENT_FAULTS = frozenset({AttemptFault.CONNECTION_LOST, AttemptFault.STREAM_GONE})
 
 
 class Sink(Protocol):
@@ -77,7 +77,7 @@
         """Give text of so many tokens to the caller; wait while it has no room."""
 
 
-class SharedParts(Protocol):
+class SharedResources(Protocol):
     """What the runs of one host share."""
 
     host: HostState
@@ -100,7 +100,7 @@
 
 
 @dataclass(eq=False)
-class _Reading:
+class _StreamReader:
     """One stream on one engine while it is read; silent_since is in loop time."""
 
     stream: EngineStream
@@ -129,8 +129,8 @@
 
     number: int
     task: asyncio.Task[None] | None = None
-    reading: _Reading | None = None
-    is_left: bool = False
+    reader: _StreamReader | None = None
+    is_abandoned: bool = False
     resumed: EngineStream | None = None
 
 
@@ -139,7 +139,7 @@
 
     def __init__(
         self,
-        shared: SharedParts,
+        shared: SharedResources,
         request_id: str,
         account: ClientAccount,
         completion: Completion,
@@ -157,7 +157,7 @@
         )
         # Bounded: a slow reader stops the attempt's reading, and so the engine's.
         self._events: asyncio.Queue[Event] = asyncio.Queue(MAX_QUEUED_EVENTS)
-        self._given_out: list[str] = []
+        self._delivered_texts: list[str] = []
         self._attempt: _Attempt | None = None
         self._failed_engines: set[str] = set()
         self._group = GroupHold(shared.groups)
@@ -180,7 +180,7 @@
         """Release what the request still holds, however it ended."""
         if not self._lifecycle.has_ended:
             self._lifecycle.handle(CallerDisconnected(), self._loop.time())
-        await self._async_leave_attempt()
+        await self._async_abandon_attempt()
         await self._group.async_release()
         self._shared.placement.release(self._request_id)
 
@@ -202,12 +202,12 @@
             await asyncio.sleep(effect.delay_seconds * random.uniform(0.5, 1.5))
             await self._events.put(await self._async_run_attempt(attempt, effect))
         except TargetError as err:
-            await self._events.put(self._note_failure(attempt, err))
+            await self._events.put(self._record_failure(attempt, err))
         except asyncio.CancelledError:
-            reading = attempt.reading
-            if attempt.is_left or reading is None or reading.interruption is None:
+            reader = attempt.reader
+            if attempt.is_abandoned or reader is None or reader.interruption is None:
                 raise
-            failure = self._note_failure(attempt, reading.interruption)
+            failure = self._record_failure(attempt, reader.interruption)
             await self._events.put(failure)
 
     async def _async_run_attempt(
@@ -234,10 +234,10 @@
                 )
             stream = self._build_stream(effect.attempt, placed)
         assert attempt.task is not None
-        attempt.reading = _Reading(stream, attempt.task)
+        attempt.reader = _StreamReader(stream, attempt.task)
         with ExitStack() as stack:
-            self._shared.probes.watch(attempt.reading)
-            stack.callback(self._shared.probes.forget, attempt.reading)
+            self._shared.probes.watch(attempt.reader)
+            stack.callback(self._shared.probes.unwatch, attempt.reader)
             return await self._async_read_attempt(attempt, effect, is_resumed)
 
     def _place(self, attempt: int) -> Placed | Refused:
@@ -246,11 +246,11 @@
         names = [e.name for e in engines if e.name not in self._failed_engines]
         names = shared.outliers.select(names or [e.name for e in engines], now)
         shared.placement.release(self._request_id)
-        usable = [engine for engine in engines if engine.name in names]
+        available = [engine for engine in engines if engine.name in names]
         fleet = build_fleet_view(shared.host, shared.membership, self._completion.model)
         placed = shared.placement.place(
             self.build_placement_request(attempt, now),
-            shared.reports.build_views(usable, now),
+            shared.reports.build_views(available, now),
             now,
             fleet,
         )
@@ -276,8 +276,8 @@
         )
 
     def _get_priority(self) -> int:
-        asked = self._completion.priority
-        return self._account.priority if asked is None else asked
+        requested = self._completion.priority
+        return self._account.priority if requested is None else requested
 
     def _build_stream(self, number: int, placed: Placed) -> EngineStream:
         engine = self._shared.host.configuration.targets[placed.engines[0]]
@@ -286,12 +286,12 @@
         self._shared.prefixes.mark_used(engine)
         return EngineStream(engine, stream_id, self._shared.host.identity)
 
-    def _note_failure(self, attempt: _Attempt, error: TargetError) -> Event:
+    def _record_failure(self, attempt: _Attempt, error: TargetError) -> Event:
         fault = get_fault(error)
         self._count("attempts_failed", fault.name)
         target = ""
-        if attempt.reading is not None:
-            target = attempt.reading.target.name
+        if attempt.reader is not None:
+            target = attempt.reader.target.name
             is_new = self._shared.outliers.record_failure(
                 target, fault, self._loop.time()
             )
@@ -299,7 +299,7 @@
                 log_event("target_excluded", target=target, reason=fault.value)
             # An engine that lost a connection or a stream may be sound, and may be
             # the last one; outlier detection counts such losses.
-            if fault not in PASSING_FAULTS:
+            if fault not in TRANSIENT_FAULTS:
                 self._failed_engines.add(target)
         log_event(
             "attempt_failed",
@@ -316,37 +316,37 @@
     async def _async_read_attempt(
         self, attempt: _Attempt, effect: StartAttempt, is_resumed: bool
     ) -> Event:
-        reading = attempt.reading
-        assert reading is not None
-        reading.silent_since = self._loop.time()
-        self._shared.active_streams.add(reading.stream_id)
+        reader = attempt.reader
+        assert reader is not None
+        reader.silent_since = self._loop.time()
+        self._shared.active_streams.add(reader.stream_id)
         if is_resumed:
-            opening = reading.stream.async_resume(effect.offset)
+            opening = reader.stream.async_resume(effect.offset)
         else:
-            opening = reading.stream.async_open(self._build_body(effect.offset))
+            opening = reader.stream.async_open(self._build_body(effect.offset))
         async with opening as stream:
             items = async_read_stream(stream)
             async for item in items:
                 if isinstance(item, StreamEnd):
-                    await self._async_read_to_end(reading, items)
-                    self._shared.outliers.record_success(reading.target.name)
+                    await self._async_drain_stream(reader, items)
+                    self._shared.outliers.record_success(reader.target.name)
                     self._shared.placement.note_finished(
                         self._request_id, item.tokens, self._loop.time()
                     )
                     return AttemptFinished(
                         attempt.number, item.tokens, item.finish_reason
                     )
-                reading.silent_since = None
+                reader.silent_since = None
                 await self._events.put(
                     TextArrived(attempt.number, item.offset, item.pieces)
                 )
-                reading.silent_since = self._loop.time()
+                reader.silent_since = self._loop.time()
         raise ConnectionLostError("the stream ended without its finish")
 
     def _build_body(self, offset: int) -> dict[str, object]:
         return {
             "model": self._completion.model,
-            "prompt": self._completion.prompt + "".join(self._given_out),
+            "prompt": self._completion.prompt + "".join(self._delivered_texts),
             "max_tokens": self._completion.max_tokens - offset,
             "offset": offset,
             "sampling": self._completion.sampling,
@@ -354,8 +354,8 @@
             **self._group.build_fields(),
         }
 
-    async def _async_read_to_end(
-        self, reading: _Reading, items: AsyncIterator[StreamText | StreamEnd]
+    async def _async_drain_stream(
+        self, reader: _StreamReader, items: AsyncIterator[StreamText | StreamEnd]
     ) -> None:
         # An engine frees a stream that was read to its end. Symptom of closing on the
         # finish line: the engine sees a lost reader and keeps the memory. Where the
@@ -364,24 +364,24 @@
             async with asyncio.timeout(c.STREAM_END_TIMEOUT_SECONDS):
                 async for _ in items:
                     pass
-            reading.is_released = True
+            reader.is_released = True
         except (TimeoutError, TargetError):
             pass
 
-    async def _async_leave_attempt(self) -> None:
+    async def _async_abandon_attempt(self) -> None:
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             return
-        attempt.is_left = True
+        attempt.is_abandoned = True
         if attempt.task is not None:
             attempt.task.cancel()
             await asyncio.gather(attempt.task, return_exceptions=True)
-        reading = attempt.reading
-        stream = attempt.resumed if reading is None else reading.stream
+        reader = attempt.reader
+        stream = attempt.resumed if reader is None else reader.stream
         if stream is None:
             return
         self._shared.active_streams.discard(stream.stream_id)
-        if reading is None or not reading.is_released:
+        if reader is None or not reader.is_released:
             self._shared.releases.release_stream(stream.target, stream.stream_id)
 
 
@@ -393,23 +393,23 @@
 @_async_apply.register
 async def _(effect: StartAttempt, run: ModelRun) -> None:
     attempt = _Attempt(effect.attempt)
-    earlier = run._attempt
-    if effect.resume and earlier is not None and earlier.reading is not None:
-        attempt.resumed = earlier.reading.stream
-        earlier.reading.is_released = True
-    await run._async_leave_attempt()
+    previous = run._attempt
+    if effect.resume and previous is not None and previous.reader is not None:
+        attempt.resumed = previous.reader.stream
+        previous.reader.is_released = True
+    await run._async_abandon_attempt()
     run._attempt = attempt
     attempt.task = asyncio.create_task(run._async_attempt(attempt, effect))
 
 
 @_async_apply.register
 async def _(effect: CancelAttempt, run: ModelRun) -> None:
-    await run._async_leave_attempt()
+    await run._async_abandon_attempt()
 
 
 @_async_apply.register
 async def _(effect: DeliverText, run: ModelRun) -> None:
-    if not run._given_out:
+    if not run._delivered_texts:
         now = run._loop.time()
         run._shared.placement.note_first_token(run._request_id, now)
         run._shared.host.metrics.observe(
@@ -418,7 +418,7 @@
             run._account.name,
             get_length_class(run._completion.prompt_tokens),
         )
-    run._given_out.append(effect.text)
+    run._delivered_texts.append(effect.text)
     # A caller that reads nothing must not hold its engine. Symptom: the request
     # waits here past its deadline. The next event then finds the deadline passed.
     timeout = asyncio.timeout_at(run._lifecycle.deadline)
--- a/libraries/daemon/tarragonward_daemon/operators.py
+++ b/libraries/daemon/tarragonward_daemon/operators.py
@@ -17,14 +17,14 @@
 
 __all__ = ["OperatorRoutes"]
 
-READ = ("GET", "HEAD")
+READ_METHODS = ("GET", "HEAD")
 METHODS = {
-    c.ROUTE_CONFIGURATION: READ,
+    c.ROUTE_CONFIGURATION: READ_METHODS,
     c.ROUTE_DRAIN: ("POST",),
-    c.ROUTE_HEALTH: READ,
-    c.ROUTE_METRICS: READ,
-    c.ROUTE_STATUS: READ,
-    c.ROUTE_TARGETS: READ,
+    c.ROUTE_HEALTH: READ_METHODS,
+    c.ROUTE_METRICS: READ_METHODS,
+    c.ROUTE_STATUS: READ_METHODS,
+    c.ROUTE_TARGETS: READ_METHODS,
 }
 OPEN_ROUTES = (c.ROUTE_HEALTH, c.ROUTE_METRICS)
 EXPOSITION = {"content-type": "text/plain; version=0.0.4; charset=utf-8"}
@@ -92,11 +92,11 @@
         await responder.async_send_bytes(200, body, headers)
 
     def _authenticate(self, head: HttpHead) -> None:
-        given = head.headers.get("authorization", "").encode("latin-1")
-        if not given:
+        authorization = head.headers.get("authorization", "").encode("latin-1")
+        if not authorization:
             raise RequestRefusedError(ResultCode.TOKEN_MISSING)
         expected = f"Bearer {self._host.settings.operator_token}".encode()
-        if not hmac.compare_digest(given, expected):
+        if not hmac.compare_digest(authorization, expected):
             raise RequestRefusedError(
                 ResultCode.TOKEN_WRONG, "The token is not the operators'."
             )
--- a/libraries/daemon/tarragonward_daemon/orders.py
+++ b/libraries/daemon/tarragonward_daemon/orders.py
@@ -29,8 +29,8 @@
 
 __all__ = ["OrderTask", "choose_watchers"]
 
-SENDING = frozenset({OrderDecision.SEND, OrderDecision.LOOK_THEN_SEND})
-GONE = frozenset({MemberState.DEAD, MemberState.LEAVING})
+SENDING_DECISIONS = frozenset({OrderDecision.SEND, OrderDecision.LOOK_THEN_SEND})
+GONE_STATES = frozenset({MemberState.DEAD, MemberState.LEAVING})
 
 
 class _OrderTooOldError(Exception):
@@ -82,18 +82,21 @@
         if state is None:
             return
         orders = build_orders(state.configuration, state.number)
-        ours = [
-            state.configuration.targets[name] for name in orders if self._watches(name)
+        watched = [
+            state.configuration.targets[name]
+            for name in orders
+            if self._is_watcher(name)
         ]
-        checks = [self._async_check(engine, orders) for engine in ours]
+        checks = [self._async_check(engine, orders) for engine in watched]
         await asyncio.gather(*checks)
 
-    def _watches(self, engine: str) -> bool:
+    def _is_watcher(self, engine: str) -> bool:
         settings = self._host.settings
         members = [
             str(member.listed.address)
             for member in self._membership.membership.get_members()
-            if member.state not in GONE and _is_near(member, settings.failure_domain)
+            if member.state not in GONE_STATES
+            and _is_local(member, settings.failure_domain)
         ]
         target = self._host.configuration.targets[engine]
         if target.failure_domain != settings.failure_domain:
@@ -112,9 +115,9 @@
             return
         decision = decide_order(order, reported, engine.checks_fencing)
         starts_load = reported is None or not reported.has(order)
-        if decision in SENDING and starts_load:
+        if decision in SENDING_DECISIONS and starts_load:
             if not await self._loads.async_may_load(engine, orders):
-                self._show(engine, order, "held back")
+                self._report_result(engine, order, "held back")
                 return
         match decision:
             case OrderDecision.CATCH_UP:
@@ -161,11 +164,13 @@
                 before_write=check_age,
             )
         except (TargetError, _OrderTooOldError) as err:
-            self._show(engine, order, "failed", error=repr(err))
+            self._report_result(engine, order, "failed", error=repr(err))
             return
-        self._show(engine, order, "taken" if answer.status == 200 else "refused")
+        self._report_result(
+            engine, order, "taken" if answer.status == 200 else "refused"
+        )
 
-    def _show(
+    def _report_result(
         self, engine: Target, order: EngineOrder, result: str, **fields: Any
     ) -> None:
         self._host.metrics.count("orders", result)
@@ -187,7 +192,7 @@
     return hashlib.blake2b(f"{engine}|{host}".encode(), digest_size=8).digest()
 
 
-def _is_near(member: Member, failure_domain: str) -> bool:
+def _is_local(member: Member, failure_domain: str) -> bool:
     return member.listed.failure_domain == failure_domain
 
 
--- a/libraries/daemon/tarragonward_daemon/prefixes.py
+++ b/libraries/daemon/tarragonward_daemon/prefixes.py
@@ -35,7 +35,7 @@
 
     def __init__(self, index: PrefixIndex, metrics: Metrics) -> None:
         self._index = index
-        self._used: dict[str, tuple[Target, float]] = {}
+        self._recently_used: dict[str, tuple[Target, float]] = {}
         self._background = BackgroundTasks(metrics)
 
     async def async_setup(self) -> None:
@@ -48,23 +48,23 @@
 
     def mark_used(self, target: Target) -> None:
         """Read an engine's events for a while."""
-        self._used[target.name] = target, asyncio.get_running_loop().time()
+        self._recently_used[target.name] = target, asyncio.get_running_loop().time()
 
     async def _async_run(self) -> None:
         while True:
             await asyncio.sleep(
                 c.PREFIX_READ_INTERVAL_SECONDS * random.uniform(0.8, 1.2)
             )
-            self._forget_unused()
-            targets = [target for target, _ in self._used.values()]
+            self._remove_unused()
+            targets = [target for target, _ in self._recently_used.values()]
             chosen = random.sample(targets, min(len(targets), c.MAX_PREFIX_READS))
             await asyncio.gather(*map(self._async_read, chosen))
 
-    def _forget_unused(self) -> None:
+    def _remove_unused(self) -> None:
         now = asyncio.get_running_loop().time()
-        for name, (_, used_at) in list(self._used.items()):
+        for name, (_, used_at) in list(self._recently_used.items()):
             if now - used_at > c.PREFIX_RETENTION_SECONDS:
-                del self._used[name]
+                del self._recently_used[name]
                 self._index.forget(name)
 
     async def _async_read(self, target: Target) -> None:
--- a/libraries/daemon/tarragonward_daemon/reports.py
+++ b/libraries/daemon/tarragonward_daemon/reports.py
@@ -109,7 +109,7 @@
                 queued_prefill_tokens=int(report.get("queued_prefill_tokens", 0)),
                 running=int(report.get("running", 0)),
                 reported_at=asyncio.get_running_loop().time(),
-                queued_long_tokens=_count_long(report),
+                queued_long_tokens=_count_long_tokens(report),
                 prefill_tokens_per_second=int(
                     report.get("prefill_tokens_per_second", 0)
                 ),
@@ -117,7 +117,7 @@
         )
 
 
-def _count_long(report: dict[str, Any]) -> int:
+def _count_long_tokens(report: dict[str, Any]) -> int:
     queued = report.get("queued_by_priority", {})
     return sum(
         int(tokens)
@@ -135,9 +135,9 @@
     # The sum of accounts too small to be told apart weighs as all of them do.
     weights[OTHER_ACCOUNTS] = sum(weights.values())
     engines = host.configuration.get_engines(model)
-    published = tuple(engine.kv_tokens for engine in engines)
-    listed = len(membership.membership.get_members()) + 1
-    live = membership.count_live_hosts()
-    if live == 1 and listed > 1:
-        return FleetView(listed, weights, None, published)
-    return FleetView(live, weights, membership.get_demand(), published)
+    published_kv_tokens = tuple(engine.kv_tokens for engine in engines)
+    listed_hosts = len(membership.membership.get_members()) + 1
+    live_hosts = membership.count_live_hosts()
+    if live_hosts == 1 and listed_hosts > 1:
+        return FleetView(listed_hosts, weights, None, published_kv_tokens)
+    return FleetView(live_hosts, weights, membership.get_demand(), published_kv_tokens)
--- a/libraries/daemon/tarragonward_daemon/sweep.py
+++ b/libraries/daemon/tarragonward_daemon/sweep.py
@@ -66,7 +66,7 @@
                 held, reported.keys(), own_active, loop.time()
             )
             self._cancel(cancels, targets)
-            await self._async_look_at_owners()
+            await self._async_probe_owners()
 
     def _get_interval(self) -> float:
         """Return the seconds between sweeps: more with more hosts, as they share."""
@@ -101,15 +101,15 @@
             else:
                 self._releases.release_stream(target, item.held_id)
 
-    async def _async_look_at_owners(self) -> None:
+    async def _async_probe_owners(self) -> None:
         owners = self._sweep.get_owners()
-        looked_at = random.sample(owners, min(len(owners), c.MAX_OWNER_PROBES))
-        statuses = await asyncio.gather(*map(self._async_look, looked_at))
+        probed = random.sample(owners, min(len(owners), c.MAX_OWNER_PROBES))
+        statuses = await asyncio.gather(*map(self._async_probe_owner, probed))
         now = asyncio.get_running_loop().time()
-        for identity, status in zip(looked_at, statuses, strict=True):
+        for identity, status in zip(probed, statuses, strict=True):
             self._sweep.record_owner_status(identity, status, now)
 
-    async def _async_look(self, owner: HostIdentity) -> OwnerStatus:
+    async def _async_probe_owner(self, owner: HostIdentity) -> OwnerStatus:
         """Return what answers at an owner's address: it, another, or nobody.
 
         Membership says who is worth a look; its view is a hint, so the look decides.
