--- a/libraries/daemon/tarragonward_daemon/__init__.py
+++ b/libraries/daemon/tarragonward_daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: one entry host, its tasks and its routes."""
+"""The daemon of one entry host: its tasks and its routes."""
 
 from .app import Daemon
 from .main import run
--- a/libraries/daemon/tarragonward_daemon/answers.py
+++ b/libraries/daemon/tarragonward_daemon/answers.py
@@ -1,4 +1,4 @@
-"""Write a model request's answer to its caller, streamed or whole."""
+"""Write a model request's answer to its caller, streamed or in one piece."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class CompletionAnswer:
-    """The answer so far; it ends with its finish reason or an error, never silently.
+    """Write an answer that always ends with a finish reason or an error.
 
-    target is the engine that gave the last text, "" before the first attempt; tokens
-    counts what was given out.
+    target is the engine of the latest attempt, "" before the first; tokens is the
+    number of tokens delivered so far.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
         self.tokens = 0
 
     def set_target(self, target: str) -> None:
-        """Note which engine the answer comes from, for the logs."""
+        """Set the engine that produces the answer, for the logs."""
         self.target = target
 
     async def async_deliver(self, text: str, tokens: int) -> None:
-        """Give text of so many tokens to the caller."""
+        """Deliver text with its number of tokens to the caller."""
         self.tokens += tokens
         if not self._completion.is_streaming:
             self._parts.append(text)
@@ -53,7 +53,7 @@
         await self._responder.async_send_chunk(self._writer.build_event(text))
 
     async def async_end(self, end: EndRequest) -> None:
-        """End the answer."""
+        """Finish the answer with a finish reason, or with an error."""
         if end.code is not ResultCode.OK:
             await self._async_end_with_error(end)
         elif self._completion.is_streaming:
--- a/libraries/daemon/tarragonward_daemon/app.py
+++ b/libraries/daemon/tarragonward_daemon/app.py
@@ -1,4 +1,4 @@
-"""Put one host together: its tasks, in the order they depend on each other."""
+"""Assemble one host: its tasks, in the order of their dependencies."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Daemon:
-    """One entry host; async_run serves until it was drained or told to stop."""
+    """One entry host; async_run serves until the host is drained or stopped."""
 
     def __init__(self, settings: Settings) -> None:
         identity = HostIdentity(settings.peers, new_incarnation())
@@ -98,7 +98,7 @@
         )
 
     def request_drain(self) -> None:
-        """Leave the balancer, end what is in progress, then stop; twice: stop now."""
+        """Start a graceful shutdown; a second call ends the drain at once."""
         if self._drain_requested.is_set():
             self._stop_requested.set()
         self._drain_requested.set()
@@ -127,13 +127,13 @@
             self.sweep,
             self.peers,
             self.callers,
-            # Last: its health check must not pass before the callers' port listens, or
-            # the balancer sends to a host that refuses connections.
+            # Started last: if the health check passed before the callers' port
+            # listens, the balancer would send to a host that refuses connections.
             self.operators,
         ]
 
     async def _async_drain(self) -> None:
-        """Wait until all requests in progress have ended, or the time is over."""
+        """Wait until all requests in progress have ended, at most the drain timeout."""
         self.membership.set_leaving()
         log_event("drain_started", in_flight=self.host.requests_in_flight)
         stopped = asyncio.create_task(self._stop_requested.wait())
@@ -151,10 +151,10 @@
         await self._async_stop_requests()
 
     async def _async_wait_idle(self) -> None:
-        # The balancer goes on sending until it has seen the health check fail. Symptom
-        # of refusing before: callers read errors during each replacement. So work is
-        # admitted until the failing check was read, and for the time that this takes
-        # to have effect. Without a balancer that asks, the wait is bounded.
+        # The balancer keeps sending requests until it has seen the health check fail;
+        # refusing them earlier gives callers errors at each replacement of a host. New
+        # work is therefore admitted until a failed check was answered, and a short
+        # time longer for the balancer to react. The wait for a check has a timeout.
         self.host.is_draining = True
         with suppress(TimeoutError):
             async with asyncio.timeout(c.MAX_HEALTH_CHECK_WAIT_SECONDS):
@@ -163,14 +163,14 @@
         self.host.is_admitting = False
         self.calls.start_drain()
         self.callers.disable_keep_alive()
-        # Counted from its head on: a request whose body still comes in is refused by
-        # number, not cut off.
+        # A request counts from its head on: one whose body is still being received
+        # gets a result code instead of a closed connection.
         await self.callers.async_wait_idle()
         while self.host.requests_in_flight:
             await self.host.idle.wait()
 
     async def _async_stop_requests(self) -> None:
-        """Give what is still in progress its answer before the connections end."""
+        """Answer the requests still in progress before their connections are closed."""
         self.host.is_draining, self.host.is_admitting = True, False
         self.models.stop_all()
         with suppress(TimeoutError):
--- a/libraries/daemon/tarragonward_daemon/callers.py
+++ b/libraries/daemon/tarragonward_daemon/callers.py
@@ -1,4 +1,4 @@
-"""Serve the callers' routes."""
+"""Serve the HTTP routes of callers."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class CallerContext:
-    """What the head of a request says; times are the loop's, in seconds."""
+    """What the head of a request specifies; times are event loop time, in seconds."""
 
     request_id: str
     account: ClientAccount
@@ -44,7 +44,7 @@
 
 
 class CallerRoutes:
-    """Check a caller's request, run it, and answer with a numbered result."""
+    """Check a caller's request, run it, and answer with a result code."""
 
     def __init__(
         self, host: HostState, models: ModelRequests, calls: ServiceCalls
@@ -54,7 +54,7 @@
         self._calls = calls
 
     def check_head(self, head: HttpHead) -> CallerContext:
-        """Refuse what its head already forbids, before its body costs memory."""
+        """Refuse an invalid request by its head, before its body is buffered."""
         account = self._host.authenticate(head.headers.get("authorization"))
         _check_route(head)
         if head.path in PARSERS:
@@ -70,15 +70,15 @@
     def translate_refusal(
         self, head: HttpHead, error: RequestRefusedError
     ) -> RequestRefusedError:
-        """Return what to say of a request that was refused before its body was read."""
+        """Return the refusal to send if the body of a request was not read."""
         return translate_refusal(error, c.HEADER_CALL_KEY in head.headers)
 
     def log_refused(self, request_id: str, code: ResultCode) -> None:
-        """Log and count a request that was refused before it reached a route."""
+        """Log and count a request that was refused before it was routed."""
         self._log_end(request_id, "", code)
 
     async def async_handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         context: CallerContext = request.context
         responder.write_deadline = context.deadline
         with ExitStack() as stack:
@@ -115,7 +115,7 @@
             await responder.async_send_json(200, models, context.headers)
 
     def _read_time_limit(self, head: HttpHead) -> float:
-        """Return the seconds that the caller gives its request, at most the limit."""
+        """Return the caller's time limit in seconds, at most the configured maximum."""
         limits = self._host.settings.limits
         value = head.headers.get(c.HEADER_TIME_LIMIT)
         if value is None:
@@ -157,8 +157,8 @@
         end = await self._models.async_run(
             context.request_id, context.account, completion, context.deadline, answer
         )
-        # A caller that reads nothing must not hold its request. Symptom: a drain that
-        # waits for it. Running out of time here ends the caller's connection.
+        # Without a timeout, a caller that stops reading would keep its request in
+        # progress and block a drain. The timeout closes the caller's connection.
         async with asyncio.timeout(c.END_ANSWER_TIMEOUT_SECONDS):
             await answer.async_end(end)
         self._log_context_end(
--- a/libraries/daemon/tarragonward_daemon/calls.py
+++ b/libraries/daemon/tarragonward_daemon/calls.py
@@ -1,4 +1,4 @@
-"""Run calls to plain services: once at most where they may not be repeated."""
+"""Run calls to plain services; non-idempotent calls run at most once."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 ]
 
 DIGEST_SEPARATOR = b"\0"
-# Codes that a host gives before it has looked at a key, or without being its owner.
+# Codes that a host returns before looking up a key, or without being its owner.
 CODES_WITHOUT_KEY_LOOKUP = frozenset(
     {
         ResultCode.ACCOUNT_LIMIT,
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class ServiceCall:
-    """A call as it came; deadline is in this process's loop time."""
+    """A call as received; deadline is in this process's event loop time."""
 
     account: str
     service: str
@@ -63,7 +63,7 @@
     deadline: float = 0.0
 
     def compute_digest(self) -> bytes:
-        """Return what tells this call from another one under the same key."""
+        """Return a digest that detects another call under the same key."""
         head = f"{self.account}\0{self.service}\0{self.operation}".encode()
         return hashlib.sha256(head + DIGEST_SEPARATOR + self.body).digest()
 
@@ -71,10 +71,10 @@
 @register_message
 @dataclass(frozen=True)
 class ForwardCall:
-    """A call on its way to its key's owner; deadline is a point of the owner's clock.
+    """A call forwarded to the owner of its key; deadline is in the owner's clock.
 
-    A copy that the network holds back past its time limit is late by the owner's own
-    clock, however long it was on its way.
+    The owner therefore detects a copy that the network delivers after its time limit,
+    whatever the network delay was.
     """
 
     key: str
@@ -89,9 +89,9 @@
 @register_message
 @dataclass(frozen=True)
 class CallAnswer:
-    """The owner's answer; status 0 means that there is no answer of the target.
+    """The owner's answer; status 0 means that the target gave no answer.
 
-    retry_after_seconds is 0 where the owner names no time.
+    retry_after_seconds is 0 if the owner gives no delay.
     """
 
     code: int
@@ -102,7 +102,7 @@
 
 
 class ServiceCalls:
-    """Run idempotent calls here, and take the others to the owner of their key."""
+    """Run idempotent calls on this host, and forward others to their key's owner."""
 
     def __init__(
         self, host: HostState, links: PeerLinks, membership: MembershipTask
@@ -114,19 +114,19 @@
         self._owned = OwnedCalls(host, self.get_targets)
 
     async def async_setup(self) -> None:
-        """Be ready."""
+        """Do nothing: calls start their own tasks."""
 
     async def async_unload(self) -> None:
-        """End what is still being sent."""
+        """Cancel the calls that are still being sent."""
         await self._owned.async_unload()
 
     def mint_prefix(self) -> str:
-        """Return a key prefix that names this host and incarnation as owner."""
+        """Return a key prefix with this host and incarnation as the owner."""
         minted_at = self._owned.choose_mint_time()
         return mint_key_prefix(self._host.identity, minted_at, self._secret)
 
     async def async_run(self, call: ServiceCall, key_text: str | None) -> Reply:
-        """Run a call that a caller sent to this host."""
+        """Run a call that this host received from a caller."""
         operation = self._host.configuration.find_operation(
             call.service, call.operation
         )
@@ -136,8 +136,8 @@
         if key_text is None:
             code = ResultCode.KEY_MISSING if operation else ResultCode.UNKNOWN_SERVICE
             raise RequestRefusedError(code)
-        # The same limit on every host: a body that one forwards and another refuses
-        # would be told "not run" after it ran.
+        # The limit is the same on every host. Otherwise a host could refuse a repeat as
+        # "not run" after another host had forwarded the call and it had run.
         if len(call.body) > c.MAX_CALL_BODY_BYTES:
             raise RequestRefusedError(ResultCode.BODY_TOO_LARGE)
         key = parse_key(key_text, self._secret)
@@ -181,13 +181,13 @@
         return Reply(ResultCode.NO_TARGET, retry_after_seconds=c.RETRY_AFTER_SECONDS)
 
     async def _async_forward(self, call: ServiceCall, key: CallKey) -> Reply:
-        """Ask the owner, again where the link was lost: the owner runs it once."""
+        """Forward a call to its owner, which runs it once; retry if a link is lost."""
         for _ in range(c.FORWARD_ATTEMPTS):
             try:
                 return await self._async_request_owner(call, key)
             except NotConnectedError as err:
-                # An earlier copy of the call may have reached the owner through
-                # another host, so not even this proves that it did not run.
+                # A failed connection does not prove that the call did not run: an
+                # earlier copy may have reached the owner through another host.
                 log_event("owner_out_of_reach", owner=key.owner, error=repr(err))
                 break
             except ConnectionLostError as err:
@@ -211,7 +211,7 @@
         return _read_answer(answer)
 
     def get_targets(self, service: str) -> list[Target]:
-        """Return the service's targets, those of this failure domain first."""
+        """Return the service's targets, with this host's failure domain first."""
         domain = self._host.settings.failure_domain
         leaving = self._membership.leaving_targets
         targets = [
@@ -222,16 +222,16 @@
         return sorted(targets, key=lambda target: target.failure_domain != domain)
 
     def start_drain(self) -> None:
-        """Take no new call under this host's keys; repeats are still answered."""
+        """Accept no new calls under this host's keys; still answer repeats."""
         self._owned.close()
 
 
 def translate_refusal(err: RequestRefusedError, has_key: bool) -> RequestRefusedError:
-    """Return what to tell a caller whose copy of a call was refused unread.
+    """Return the refusal to send for a copy of a call that was not read.
 
-    A host that is not ready says "not run" of the copy that it refuses. Symptom: the
-    clerk's repeat is told "not run" of a booking that ran before, and books again with
-    a new key. Where there is a key, only its owner may say so.
+    A host that is not ready knows only that this copy did not run. If a repeat of a
+    booking that has run were answered "not run", the caller would book again with a
+    new key. For a call with a key, only the key's owner may answer "not run".
     """
     if not has_key or err.code not in CODES_WITHOUT_KEY_LOOKUP:
         return err
--- a/libraries/daemon/tarragonward_daemon/completions.py
+++ b/libraries/daemon/tarragonward_daemon/completions.py
@@ -1,4 +1,4 @@
-"""Read and write the usual completion shapes."""
+"""Parse completion requests and write answers in the OpenAI format."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True)
 class Completion:
-    """A model request as the caller wrote it, in one form for both routes.
+    """A model request, in the same form for both completion routes.
 
-    max_tokens is None until fit_to_context where the caller gave none; sampling holds
-    the fields that only the engine understands.
+    max_tokens is a default if is_max_tokens_given is False; sampling holds the fields
+    that are passed to the engine unchanged.
     """
 
     model: str
@@ -82,16 +82,16 @@
 
 
 def _limit_messages(value: Any) -> list[Any]:
-    # Checking each message takes some microseconds. Symptom of no bound: a body of
-    # 16 MB of empty messages stops all streams of the host for seconds.
+    # Validating a message takes some microseconds. Without a bound, a body of 16 MB
+    # of empty messages blocks all streams of the host for seconds.
     if not isinstance(value, list) or not 1 <= len(value) <= MAX_MESSAGES:
         raise vol.Invalid(f"expected a list of 1 to {MAX_MESSAGES} messages")
     return value
 
 
 def _unsupported(*allowed: Any) -> Any:
-    # A field that changes the answer must not be passed over: the caller would take
-    # another answer for the one it asked for.
+    # A field that changes the answer must not be ignored: the caller would get an
+    # answer to a request other than its own.
     def check(value: Any) -> Any:
         if value not in (None, *allowed):
             raise vol.Invalid(f"not supported; expected one of {[None, *allowed]}")
@@ -113,7 +113,7 @@
     vol.Optional("n"): _unsupported(1),
     vol.Optional("stop"): _unsupported([]),
     vol.Optional("logit_bias"): _unsupported({}),
-    # What else stock clients send changes nothing about the answer's text.
+    # Other fields that common clients send do not change the text of the answer.
     vol.Extra: object,
 }
 COMPLETION_SCHEMA = vol.Schema(
@@ -149,13 +149,13 @@
 
 
 def parse_completion(body: bytes) -> Completion:
-    """Return the request in a body of /v1/completions; refuse what is not valid."""
+    """Parse a body of /v1/completions; raise RequestRefusedError if it is invalid."""
     data = _parse(body, COMPLETION_SCHEMA)
     return _build(data, data["prompt"], is_chat=False)
 
 
 def parse_chat(body: bytes) -> Completion:
-    """Return the request in a body of /v1/chat/completions; refuse if not valid."""
+    """Parse a body of /v1/chat/completions; raise RequestRefusedError if invalid."""
     data = _parse(body, CHAT_SCHEMA)
     lines = [
         f"{message['role']}: {message['content']}\n" for message in data["messages"]
@@ -164,10 +164,10 @@
 
 
 def fit_to_context(completion: Completion, context_tokens: int) -> Completion:
-    """Return the completion with an answer that fits; refuse a prompt that does not.
+    """Limit the answer to the context; refuse a prompt that is too long.
 
-    Prompt and answer share context_tokens. An answer length that the caller named is
-    never cut: it would get a shorter answer than the one it counts on.
+    Prompt and answer share context_tokens. A max_tokens given by the caller is never
+    reduced, as the caller would get a shorter answer than it requested.
     """
     available_tokens = context_tokens - completion.prompt_tokens
     min_answer_tokens = completion.max_tokens if completion.is_max_tokens_given else 1
@@ -210,7 +210,7 @@
 
 
 class CompletionWriter:
-    """Write one answer's JSON, whole or as server-sent events."""
+    """Write one answer as a JSON document or as server-sent events."""
 
     def __init__(self, completion: Completion, request_id: str) -> None:
         self._completion = completion
@@ -233,14 +233,14 @@
         return self._build_event([choice])
 
     def build_end(self, finish_reason: str, tokens: int) -> bytes:
-        """Return the events that end a whole answer of so many tokens."""
+        """Return the events that end a complete answer with this number of tokens."""
         usage = b""
         if self._completion.includes_usage:
             usage = self._build_event([], usage=self._build_usage(tokens))
         return self.build_event("", finish_reason) + usage + DONE_EVENT
 
     def build_error(self, error: dict[str, Any]) -> bytes:
-        """Return the event that ends an answer that is not whole."""
+        """Return the event that ends an incomplete answer."""
         return b"data: " + orjson.dumps(error) + b"\n\n"
 
     def build_whole(self, text: str, tokens: int, finish_reason: str) -> dict[str, Any]:
--- a/libraries/daemon/tarragonward_daemon/configuration.py
+++ b/libraries/daemon/tarragonward_daemon/configuration.py
@@ -1,4 +1,4 @@
-"""Read and watch the published configuration; the number in force never falls."""
+"""Read and watch the published configuration; its active number never decreases."""
 
 from __future__ import annotations
 
@@ -50,10 +50,10 @@
 
 
 class ConfigurationTask:
-    """Own the watch of the configuration service and the exchange with peers.
+    """Watch the configuration service and exchange patches with peers.
 
-    Until the first state is put in force the host admits no work. verdicts holds the
-    last entries judged, with the reason where one was refused.
+    The host admits no work until a first state is active. verdicts holds the latest
+    patches with their verdicts, and the reasons of those refused.
     """
 
     def __init__(
@@ -71,18 +71,18 @@
         host.add_status_section("patches", self._list_patches)
 
     async def async_setup(self) -> None:
-        """Start to watch and to exchange with peers."""
+        """Start to watch the service and to pull from peers."""
         self._background.start("configuration", self._async_run)
         self._background.start("configuration_exchange", self._async_pull_from_peers)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop all tasks."""
         await self._background.async_unload()
         await self.peers.async_unload()
 
     @property
     def verdicts(self) -> list[PatchRecord]:
-        """Return what became of the last patches, the oldest first."""
+        """Return the verdicts on the latest patches, the oldest first."""
         return list(self.history.verdicts)
 
     def _list_patches(self) -> list[dict[str, Any]]:
@@ -97,16 +97,16 @@
         ]
 
     def record_fencing(self, number: int) -> None:
-        """Note an engine's fencing number; a higher one shows that ours is stale."""
+        """Record an engine's fencing number; a higher one proves this host's stale."""
         self.history.raise_floor(number)
         if self.history.is_below_floor:
             self._catch_up_requested.set()
 
     async def async_verify_newest(self) -> bool:
-        """Look at all replicas of the service; tell whether ours is their newest state.
+        """Read all replicas of the service; return whether this host is up to date.
 
-        What is newer is taken over. False where none answers that is at least as new
-        as this host.
+        Newer entries are applied. False if no replica answers that is at least as new
+        as this host's state.
         """
         newest = -1
         for _ in self._host.settings.configuration:
@@ -128,12 +128,12 @@
                 await _async_wait_before_retry()
 
     async def _async_find_initial_state(self) -> None:
-        """Find the newest state in reach before any work is admitted.
+        """Find the newest reachable state before any work is admitted.
 
-        A replica that lags, or a platform back from an old backup, shows a new host
-        an old state. Symptom: a domain whose hosts were all replaced goes back behind
-        a patch that was in force. Peers know the newer state; where none is left, the
-        engines' fencing numbers show that there was one, and the host waits for it.
+        A lagging replica, or a platform restored from an old backup, gives a new host
+        an old state; a failure domain whose hosts were all replaced would then revert
+        a patch that was active. Peers have the newer state. If no peer is left, the
+        engines' fencing numbers show that a newer state exists, and the host waits.
         """
         while not self._is_admitting:
             await self._async_read_first_snapshot()
@@ -173,7 +173,7 @@
                 self.history.remember(parse_entry(item))
 
     async def _async_read_log(self, replica: Address, wait: float) -> int:
-        """Read what is new in the log; return the last sequence that it holds."""
+        """Read new log entries; return the last sequence number of the log."""
         after = self.history.sequence
         path = f"{LOG_ROUTE}?after={after}&wait={wait}"
         data = await self._async_get(replica, path, wait)
@@ -186,7 +186,8 @@
             taken = await self._async_take_checked(replica, entries)
             if taken.outcome is Outcome.GAP:
                 await self._async_read_snapshot(replica)
-            # A log that is no continuation of ours would else be read in a busy loop.
+            # Without the error, a log that does not continue this host's history
+            # would be read in a busy loop.
             if self.history.sequence == after:
                 raise ConfigurationError(f"{replica}: {taken.outcome.value}")
         return latest
@@ -204,7 +205,7 @@
         return taken
 
     def _apply_result(self, taken: Taken, source: str) -> None:
-        """Put in force what was taken over, and make what was refused visible."""
+        """Activate an applied state; log and count refused patches and forks."""
         for judgement in taken.judgements:
             self._report_judgement(judgement)
         if taken.outcome is Outcome.FORK:
@@ -255,7 +256,7 @@
                     await self.async_verify_newest()
 
     async def _async_read_fencing(self) -> None:
-        """Ask a few engines for the highest number that they were ordered under."""
+        """Read the highest fencing number that a few engines have accepted."""
         state = self.history.state
         if state is None:
             return
--- a/libraries/daemon/tarragonward_daemon/configuration_peers.py
+++ b/libraries/daemon/tarragonward_daemon/configuration_peers.py
@@ -1,4 +1,4 @@
-"""Hand published patches on between hosts, for those that the platform can't reach."""
+"""Exchange patches between hosts, for those that can't reach the platform."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 @register_message
 @dataclass(frozen=True)
 class PullConfiguration:
-    """Ask for what is new after a sequence; -1 asks for a whole snapshot."""
+    """Request the entries after a sequence number; -1 requests a snapshot."""
 
     sequence: int
     digest: bytes
@@ -49,9 +49,9 @@
 @register_message
 @dataclass(frozen=True)
 class ConfigurationNews:
-    """What a host has: entries as JSON, or a snapshot as JSON where it must be.
+    """A host's log entries as JSON, or a snapshot as JSON if entries are missing.
 
-    Also told, without being asked for, to neighbours when entries were taken over.
+    The answer to PullConfiguration, and also pushed to neighbours with new entries.
     """
 
     sequence: int
@@ -62,7 +62,7 @@
 
 
 class ConfigurationPeers:
-    """Push what was taken over to a few neighbours, and pull from one now and then."""
+    """Push new entries to a few neighbours, and pull from one of them periodically."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         self._catch_up_task: asyncio.Task[None] | None = None
 
     async def async_unload(self) -> None:
-        """End what is being pushed and pulled."""
+        """Cancel pushes and pulls in progress."""
         tasks = list(self._push_tasks)
         if self._catch_up_task is not None:
             tasks.append(self._catch_up_task)
@@ -90,7 +90,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def push(self, taken: Taken) -> None:
-        """Tell the neighbours of entries that were taken over just now."""
+        """Push newly applied entries to the neighbours."""
         entries = [judgement.entry for judgement in taken.judgements]
         if not entries:
             return
@@ -103,7 +103,7 @@
             task.add_done_callback(self._push_tasks.discard)
 
     async def async_pull_from_many(self) -> None:
-        """Ask several hosts for what they have; bounded in time where cut off."""
+        """Pull from several hosts; a partition delays this by the time-outs at most."""
         await self._async_wait_for_members()
         members = self._membership.membership.get_members()
         chosen = random.sample(members, min(len(members), c.MAX_START_PEERS))
@@ -111,16 +111,16 @@
         await asyncio.gather(*pulls)
 
     async def async_pull_one(self) -> None:
-        """Ask one neighbour for what it has."""
+        """Pull from one neighbour."""
         neighbours = self._choose_neighbours()
         if neighbours:
             await self._async_pull(random.choice(neighbours).listed.address)
 
     def handle_peer_ahead(self, address: Address, sequence: int) -> None:
-        """Pull from a peer whose gossip tells a longer log; from one at a time.
+        """Pull from a peer whose gossip shows a longer log, from one at a time.
 
-        Neighbours are fixed. Where all five are out of reach, a patch would wait for
-        the platform, though hosts that this one still gossips with have it.
+        Neighbours are fixed. If all of them are unreachable, a patch would otherwise
+        wait for the platform, although other hosts that this one gossips with have it.
         """
         if sequence <= self._history.sequence or self._catch_up_task is not None:
             return
@@ -133,7 +133,7 @@
             self._catch_up_task = None
 
     def answer_pull(self, message: PullConfiguration) -> ConfigurationNews:
-        """Return what is new to the host that asks."""
+        """Return the entries, or the snapshot, that the requesting host lacks."""
         self._compare_digest(message.sequence, message.digest, "peer")
         if message.sequence >= self._history.sequence:
             return self._build_update((), b"")
@@ -143,7 +143,7 @@
         return self._build_update((), self._encode_snapshot())
 
     def apply_update(self, update: ConfigurationNews, source: str) -> Outcome:
-        """Take over what a peer has; raise ConfigurationError where it is not valid."""
+        """Apply a peer's update; raise ConfigurationError if it is invalid."""
         self._compare_digest(update.sequence, update.digest, source)
         if update.snapshot:
             data = orjson.loads(update.snapshot)
@@ -157,7 +157,7 @@
     async def async_handle_update(
         self, update: ConfigurationNews, peer: Address
     ) -> None:
-        """Take over what a peer pushed; ask it for what lies between where needed."""
+        """Apply a pushed update; pull from the peer if earlier entries are missing."""
         outcome = self.apply_update(update, str(peer))
         if outcome is Outcome.GAP:
             await self._async_pull(peer)
@@ -176,7 +176,7 @@
         except TargetError:
             return
         except (ConfigurationError, ValueError) as err:
-            log_event("configuration_news_refused", peer=address, error=repr(err))
+            log_event("configuration_update_refused", peer=address, error=repr(err))
 
     async def _async_push(self, address: Address, update: ConfigurationNews) -> None:
         try:
@@ -187,17 +187,17 @@
             log_event("configuration_push_failed", peer=address, error=repr(err))
 
     async def _async_wait_for_members(self) -> None:
-        """Wait a bounded time for the first host list; it may be empty or cut off."""
+        """Wait for the first host list, at most until the time-out."""
         loop = asyncio.get_running_loop()
         end = loop.time() + c.START_MEMBERS_TIMEOUT_SECONDS
         while not self._membership.membership.get_members() and loop.time() < end:
             await asyncio.sleep(c.START_POLL_INTERVAL_SECONDS)
 
     def _choose_neighbours(self) -> list[Member]:
-        """Return the few hosts that this one always exchanges with.
+        """Return the few hosts that this one always exchanges patches with.
 
-        The same ones each time, so that links stay few; some in other domains, as one
-        domain's platform may be cut off while another's is not.
+        They are the same each time to keep the number of links low. Some are in other
+        failure domains, as one domain may lose its platform while another has it.
         """
         settings = self._host.settings
         members = self._membership.membership.get_members()
@@ -229,7 +229,7 @@
 def choose_neighbours(
     own_address: str, failure_domain: str, members: list[Member]
 ) -> list[Member]:
-    """Return the members that a host exchanges with, those that are gone last."""
+    """Return the neighbours of a host by rendezvous hash; members gone rank last."""
     ranked = sorted(
         members,
         key=lambda m: (
--- a/libraries/daemon/tarragonward_daemon/const.py
+++ b/libraries/daemon/tarragonward_daemon/const.py
@@ -1,4 +1,4 @@
-"""Hold the daemon's intervals, routes and header names."""
+"""Define the daemon's intervals, routes and header names."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 ROUTE_DRAIN = "/v1/drain"
 ROUTE_HEALTH = "/health"
 ROUTE_KEY_PREFIX = "/v1/key-prefix"
-# Without the list of what the engine holds for whom, which is most of a report.
+# Omits the list of streams and reservations by owner, the largest part of a report.
 ROUTE_LOAD = "/v1/load?held=0"
 ROUTE_METRICS = "/metrics"
 ROUTE_MODELS = "/v1/models"
--- a/libraries/daemon/tarragonward_daemon/core.py
+++ b/libraries/daemon/tarragonward_daemon/core.py
@@ -1,4 +1,4 @@
-"""Hold what the tasks of one host share."""
+"""Hold the state that the tasks of one host share."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 @dataclass
 class HostState:
-    """One host's identity, its configuration in force, and whether it is leaving.
+    """One host's identity, its active configuration, and whether it drains.
 
-    is_draining fails the health check; work is admitted for a little longer.
-    drain_read is set once a failing check was answered, as the balancer may have it.
+    is_draining makes the health check fail; is_admitting stays set a little longer.
+    unhealthy_reported is set once a failed health check was answered.
     """
 
     settings: Settings
@@ -68,12 +68,12 @@
         add_gauge("draining", "1 while the host is leaving.", lambda: self.is_draining)
 
     def add_status_section(self, name: str, read: Callable[[], Any]) -> None:
-        """Add a task's part of the operators' status; read returns JSON data."""
+        """Add a section to the operators' status; read returns JSON data."""
         self.status_sections[name] = read
 
     @property
     def configuration(self) -> Configuration:
-        """Return the configuration in force; refuse work where there is none yet."""
+        """Return the active configuration; raise RequestRefusedError without one."""
         if self.configuration_state is None:
             raise RequestRefusedError(
                 ResultCode.NOT_READY, retry_after_seconds=NOT_READY_RETRY_SECONDS
@@ -82,7 +82,7 @@
 
     @property
     def configuration_number(self) -> int:
-        """Return the number in force, or -1 where there is none yet."""
+        """Return the number of the active configuration, -1 without one."""
         if self.configuration_state is None:
             return -1
         return self.configuration_state.number
@@ -98,19 +98,19 @@
         return account
 
     def check_admitting(self) -> None:
-        """Refuse new work on a host that is leaving."""
+        """Refuse new work while the host drains."""
         if not self.is_admitting:
             raise RequestRefusedError(
                 ResultCode.DRAINING, retry_after_seconds=DRAINING_RETRY_SECONDS
             )
 
     def enter_request(self) -> None:
-        """Count a request in progress; drain waits until all have left."""
+        """Count a request as in progress; a drain waits for all of them."""
         self.requests_in_flight += 1
         self.idle.clear()
 
     def leave_request(self) -> None:
-        """Count a request as ended."""
+        """Count a request in progress as ended."""
         self.requests_in_flight -= 1
         if self.requests_in_flight == 0:
             self.idle.set()
--- a/libraries/daemon/tarragonward_daemon/engine_probes.py
+++ b/libraries/daemon/tarragonward_daemon/engine_probes.py
@@ -1,4 +1,4 @@
-"""Ask silent and excluded engines whether they are alive, at no caller's cost."""
+"""Probe silent and excluded engines without sending them a caller's request."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 class WatchedStream(Protocol):
-    """A stream that is being read, as the probes see it."""
+    """The part of a stream being read that the probes use."""
 
     stream_id: str
     target: Target
     silent_since: float | None
 
     def interrupt(self, error: TargetError) -> None:
-        """End the reading with an error."""
+        """Stop reading the stream with an error."""
 
 
 class EngineProbes:
-    """Own the probes: one at a time to an engine, whatever the number of streams.
+    """Probe engines, one probe at a time for each engine and all its streams.
 
-    A prefill of a million tokens is silent for most of a minute, and a frozen engine
-    is silent too. Symptom of a plain timeout: the longest prompts are given up and
-    begun again, or a frozen engine holds its callers for a minute. Asking the engine
-    itself tells the two apart.
+    A prefill of a million tokens sends nothing for most of a minute, and neither does
+    a hung engine. A plain timeout would either abort and restart the longest prompts,
+    or keep the callers of a hung engine waiting for a minute. A probe of the engine
+    tells the two cases apart.
     """
 
     def __init__(self, host: HostState, outliers: OutlierDetector) -> None:
@@ -50,11 +50,11 @@
         self._background = BackgroundTasks(host.metrics)
 
     async def async_setup(self) -> None:
-        """Start to watch."""
+        """Start to watch streams and excluded engines."""
         self._background.start("engine_probes", self._async_watch)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop all probes."""
         await self._background.async_unload()
         tasks = list(self._probes.values())
         for task in tasks:
@@ -62,11 +62,11 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def watch(self, stream: WatchedStream) -> None:
-        """Watch a stream until forget()."""
+        """Watch a stream until unwatch()."""
         self._streams.add(stream)
 
     def unwatch(self, stream: WatchedStream) -> None:
-        """Watch a stream no longer."""
+        """Stop watching a stream."""
         self._streams.discard(stream)
 
     async def _async_watch(self) -> None:
@@ -110,14 +110,19 @@
 
     def _check_streams(self, target: Target, report: Any, started_at: float) -> None:
         for stream in list(self._streams):
-            # Streams that were not silent when the probe began are not judged by it.
+            # A probe applies only to streams that were silent when it started.
             if stream.target.name != target.name or not _is_silent(stream, started_at):
                 continue
             if report is None:
-                stream.interrupt(EngineSilentError(f"{target.name} is silent"))
+                stream.interrupt(
+                    EngineSilentError(f"{target.name} did not answer a load probe")
+                )
             elif stream.stream_id not in report.get("streams", ()):
-                # The report may lag; resuming the stream tells for certain.
-                stream.interrupt(ConnectionLostError("the stream is not reported"))
+                # The report may be out of date; the attempt to resume the stream
+                # shows whether it still exists.
+                stream.interrupt(
+                    ConnectionLostError("stream missing from the engine's load report")
+                )
 
 
 def _is_silent(stream: WatchedStream, now: float) -> bool:
--- a/libraries/daemon/tarragonward_daemon/engines.py
+++ b/libraries/daemon/tarragonward_daemon/engines.py
@@ -1,4 +1,4 @@
-"""Speak to engines: open, resume and cancel streams, and read load reports."""
+"""Open, resume, read and cancel streams on engines."""
 
 from __future__ import annotations
 
@@ -42,20 +42,20 @@
 
 
 class EngineRefusedError(TargetError):
-    """Report that the engine had no room and ran nothing."""
+    """The engine refused for lack of capacity and ran nothing."""
 
 
 class StreamGoneError(TargetError):
-    """Report that the engine does not know the stream."""
+    """The engine does not know the stream."""
 
 
 class EngineSilentError(TargetError):
-    """Report that the engine answers nothing at all."""
+    """The engine does not answer, probes included."""
 
 
 @singledispatch
 def get_fault(error: TargetError) -> AttemptFault:
-    """Return what the life cycle calls an error of an engine."""
+    """Return the fault that the request's life cycle handles for an engine's error."""
     return AttemptFault.INVALID
 
 
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class StreamText:
-    """Text of an engine's stream after offset tokens of the answer, one piece each."""
+    """Text of a stream after offset tokens of the answer; one piece for each token."""
 
     offset: int
     pieces: tuple[str, ...]
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class StreamEnd:
-    """The engine says that the answer is whole."""
+    """The engine's report that the answer is complete."""
 
     tokens: int
     finish_reason: str
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class EngineStream:
-    """One stream on one engine; its id names its owner."""
+    """One stream on one engine, with the host that owns it."""
 
     target: Target
     stream_id: str
@@ -110,7 +110,7 @@
 
     @asynccontextmanager
     async def async_open(self, body: dict[str, Any]) -> AsyncIterator[HttpStream]:
-        """Start the stream; raise TargetError where the engine refuses it."""
+        """Start the stream; raise TargetError if the engine refuses it."""
         payload = {**body, "stream_id": self.stream_id, "owner": str(self.owner)}
         async with async_open_http(
             self.target.address, "POST", "/v1/streams", body=orjson.dumps(payload)
@@ -120,7 +120,7 @@
 
     @asynccontextmanager
     async def async_resume(self, offset: int) -> AsyncIterator[HttpStream]:
-        """Go on reading after offset tokens; raise TargetError if it is gone."""
+        """Resume reading after offset tokens; raise StreamGoneError if it is gone."""
         path = f"/v1/streams/{self.stream_id}?offset={offset}"
         async with async_open_http(self.target.address, "GET", path) as stream:
             self._check_status(stream.status)
@@ -140,10 +140,10 @@
 async def async_read_stream(
     stream: HttpStream,
 ) -> AsyncIterator[StreamText | StreamEnd]:
-    """Give what an engine's stream says; lines that came together are one text.
+    """Yield an engine's stream; lines received together become one StreamText.
 
-    Raise ConnectionLostError where it breaks off, TargetError where it says what is
-    not understood. How long it may stay silent is for EngineProbes to say.
+    Raise ConnectionLostError if the connection is lost, TargetError if a line is
+    invalid. There is no timeout here: EngineProbes detects silent engines.
     """
     remainder = b""
     async for chunk in stream.async_iterate_chunks():
@@ -170,36 +170,36 @@
             else:
                 joined.append(StreamEnd(int(item["tokens"]), item["finish_reason"]))
     except (ValueError, KeyError, TypeError) as err:
-        raise TargetError(f"the engine's stream is not valid: {err!r}") from None
+        raise TargetError(f"engine sent an invalid stream line: {err!r}") from None
     if pieces:
         joined.append(StreamText(first_offset, tuple(pieces)))
     return joined
 
 
 class Releases:
-    """Own the cancelling of streams, so that it outlives the request it is for."""
+    """Cancel streams and reservations in tasks that outlive their requests."""
 
     def __init__(self) -> None:
         self._tasks: dict[asyncio.Task[None], str] = {}
 
     @property
     def pending_ids(self) -> set[str]:
-        """Return the ids of streams and reservations that are being cancelled."""
+        """Return the ids of streams and reservations whose cancel is in progress."""
         return set(self._tasks.values())
 
     def release_stream(self, target: Target, stream_id: str) -> None:
-        """Cancel a stream in the background until the engine has said it is gone."""
+        """Cancel a stream in the background; retry until the engine confirms it."""
         self._start(target, "/v1/streams/", stream_id)
 
     def release_reservation(self, target: Target, reservation_id: str) -> None:
-        """Cancel a reservation in the background, in the same way."""
+        """Cancel a reservation in the background; retry until the engine confirms."""
         self._start(target, "/v1/reservations/", reservation_id)
 
     async def async_setup(self) -> None:
-        """Do nothing: releases start as they come."""
+        """Do nothing: each release starts its own task."""
 
     async def async_unload(self) -> None:
-        """Wait for the releases under way, then stop."""
+        """Wait a limited time for releases in progress, then cancel them."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=c.CANCEL_TIMEOUT_SECONDS)
         for task in list(self._tasks):
@@ -214,10 +214,10 @@
         task.add_done_callback(self._tasks.pop)
 
     async def _async_cancel(self, target: Target, path: str) -> None:
-        # A cancel can be lost with its connection or its frozen engine. Symptom: the
-        # engine keeps memory for a stream that nobody reads. Repeating it until it was
-        # answered is enough: it is idempotent, jitter keeps many hosts' repeats apart,
-        # and what outlives the limit is found by the sweep.
+        # A cancel may be lost with its connection or on a hung engine, which then keeps
+        # memory for a stream that nobody reads. It is idempotent and is retried until
+        # the engine answers, with jitter to spread the retries of many hosts. The sweep
+        # cancels streams that are left after the retry limit.
         loop = asyncio.get_running_loop()
         retry_until = loop.time() + c.CANCEL_RETRY_LIMIT_SECONDS
         delay = c.CANCEL_RETRY_DELAY_SECONDS
--- a/libraries/daemon/tarragonward_daemon/gossip.py
+++ b/libraries/daemon/tarragonward_daemon/gossip.py
@@ -1,4 +1,4 @@
-"""Carry gossip between the decisions of membership and the other hosts."""
+"""Send and receive gossip for membership, which itself does no I/O."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 
 
 class GossipTransport:
-    """Own the links of gossip, and hand events in and effects out.
+    """Pass events to membership and apply its effects, on links used only for gossip.
 
-    The links are not those of forwarded calls: a large answer ahead of a probe would
-    make the peer look dead, and a link that is given up with a silent peer would take
-    calls in progress with it.
+    Forwarded calls use other links: a large answer ahead of a probe would make the
+    peer look dead, and dropping the link to a silent peer would abort its calls in
+    progress.
     """
 
     def __init__(self, host: HostState, membership: Membership) -> None:
@@ -54,14 +54,14 @@
         self.peer_ahead_callbacks: list[Any] = []
 
     async def async_unload(self) -> None:
-        """End what is under way, and all links."""
+        """Cancel tasks in progress, and close all links."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._links.async_unload()
 
     def handle(self, event: Event) -> Gossip | None:
-        """Let membership decide about an event; return its answer, if it gives one."""
+        """Pass an event to membership; return the answer to send, if there is one."""
         answer = None
         now = asyncio.get_running_loop().time()
         for effect in self._membership.handle(event, now):
@@ -72,7 +72,7 @@
         return answer
 
     async def async_probe_indirectly(self, message: IndirectProbe) -> IndirectAck:
-        """Probe a host for another that gets no answer from it."""
+        """Probe a host on behalf of a peer that gets no answer from it."""
         address = Address(message.host, message.port)
         now = asyncio.get_running_loop().time()
         probe = self._membership.build_gossip(address, now)
@@ -112,7 +112,7 @@
 
     @contextmanager
     def _drop_invalid(self, peer: Address) -> Iterator[None]:
-        """Drop what a peer of another version may say, and go on."""
+        """Drop an invalid message, such as one from a peer of another version."""
         try:
             yield
         except FrameError as err:
@@ -125,16 +125,16 @@
         try:
             return await self._links.async_request(address, message, timeout)
         except (TargetError, FrameError):
-            # After a cut, TCP sends again at growing intervals. Symptom: the peer
-            # stays silent for as long again as the cut was. A new connection does
-            # not wait.
+            # During a network partition, TCP retransmits at growing intervals, so an
+            # old connection can stay silent for as long again after the partition
+            # ends. A new connection does not wait.
             await self._links.async_drop(address)
             return None
 
 
 @singledispatch
 def _apply(effect: Effect, gossip: GossipTransport) -> None:
-    raise TypeError(f"not an effect: {effect!r}")
+    raise TypeError(f"unknown effect: {effect!r}")
 
 
 @_apply.register
--- a/libraries/daemon/tarragonward_daemon/groups.py
+++ b/libraries/daemon/tarragonward_daemon/groups.py
@@ -1,4 +1,4 @@
-"""Reserve the engines of a group over HTTP, and release them on every path."""
+"""Reserve the engines of a group over HTTP, and always release them."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
 
 
 class GroupRefusedError(TargetError):
-    """Report that a group could not be had; nothing of it is kept."""
+    """A group could not be reserved; none of its reservations are kept."""
 
     def __init__(self, max_delay_seconds: float) -> None:
-        super().__init__("the group's engines have no room")
+        super().__init__("not all engines of the group could be reserved")
         self.max_delay_seconds = max_delay_seconds
 
 
 class GroupReserver:
-    """Make the reservations of one host's groups.
+    """Reserve and release one host's groups of engines.
 
-    active_ids are the ids that this host holds: the sweep leaves them alone, and
-    takes from the engines whatever of this host is not among them.
+    active_ids holds the ids that this host uses. The sweep cancels everything else
+    that engines hold for this host.
     """
 
     def __init__(
@@ -60,9 +60,9 @@
     async def async_hold(
         self, name: str, placed: Placed, attempt: int
     ) -> AsyncIterator[dict[str, str]]:
-        """Hold all parts while inside; give the reservation ids by engine.
+        """Reserve all parts of a group for the context; yield the ids by engine.
 
-        Raise GroupRefusedError where not all could be had.
+        Raise GroupRefusedError if an engine refuses its part.
         """
         published = self._host.configuration.targets
         targets = {engine: published[engine] for engine in placed.engines}
@@ -72,9 +72,9 @@
         with ExitStack() as stack:
             self._active_ids.update(ids.values())
             stack.callback(self._active_ids.difference_update, ids.values())
-            # Cancelled between two reservations, the task would leave half a group.
-            # Symptom: memory that no request uses. Whatever was asked for is released,
-            # answered or not, and what a lost release leaves the sweep finds.
+            # If the task is cancelled between two reservations, part of the group
+            # would keep memory that no request uses. Everything that was requested is
+            # released, answered or not; the sweep finds it if a release is lost.
             stack.callback(self._release, group, ids, targets)
             effects = group.start()
             while not group.is_ready:
@@ -139,7 +139,7 @@
 
 
 class GroupHold:
-    """What one request holds of a group, from its placing until it leaves."""
+    """One request's reservations, from its placement until it is released."""
 
     def __init__(self, groups: GroupReserver) -> None:
         self._groups = groups
@@ -150,10 +150,10 @@
     async def async_place(
         self, place: Callable[[], Placed | Refused], name: str
     ) -> Placed | Refused:
-        """Return where place puts the prompt, once its group is held if it needs one.
+        """Place a prompt, and reserve its group if it needs more than one engine.
 
-        A group that others have in part is asked for again, with fresh knowledge and
-        after a random delay, until the request's deadline cancels the task.
+        A refused group is placed again with current data after a random delay, until
+        the request's deadline cancels the task.
         """
         attempt = 0
         while True:
@@ -173,13 +173,13 @@
                 attempt += 1
 
     async def async_release(self) -> None:
-        """Release what is held; nothing where nothing is."""
+        """Release all reservations, if there are any."""
         self._ids = {}
         self._placed = None
         await self._stack.aclose()
 
     def build_fields(self) -> dict[str, Any]:
-        """Return what the leading engine is told with the prompt."""
+        """Return the fields that the leading engine gets with the prompt."""
         if self._placed is None:
             return {}
         return {
--- a/libraries/daemon/tarragonward_daemon/loads.py
+++ b/libraries/daemon/tarragonward_daemon/loads.py
@@ -1,4 +1,4 @@
-"""Hold back orders whose loads would overrun the weight store's rate."""
+"""Delay orders whose model loads would exceed the weight store's capacity."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class LoadGate:
-    """Let the engines of this failure domain load a few at a time.
+    """Limit the concurrent model loads of this failure domain.
 
-    The published number of loads at once is split evenly between failure domains, as
-    one that is cut off sees no other. All hosts take the engines in the same order, so
-    they agree without asking each other; where they see an engine differently, a few
-    loads more share the store's rate, which costs time and no promise.
+    The published limit is split evenly between failure domains, as a partitioned
+    domain has no view of the others. All hosts go through the engines in the same
+    order and agree without coordination. If their views of an engine differ, a few
+    more loads share the store's bandwidth, which only makes them slower.
     """
 
     def __init__(self, host: HostState, async_read_state: ReadState) -> None:
@@ -35,18 +35,18 @@
     async def async_may_load(
         self, engine: Target, orders: Mapping[str, EngineOrder]
     ) -> bool:
-        """Return whether an engine's turn to load has come.
+        """Return whether an engine may load now.
 
-        Engines before it are read until as many as may load at once were seen to be
-        without their weights. One that does not answer holds no turn: else a dead
-        engine would keep all behind it from ever loading.
+        Reads the engines before it in order, until the limit of concurrent loads is
+        reached by engines without their weights. An engine that does not answer takes
+        no slot, or a dead engine would block all engines after it.
         """
         configuration = self._host.configuration
         if configuration.parallel_loads is None:
             return True
         self._reset_for_number(orders[engine.name].fencing)
-        # The caller has just seen that it lacks its weights: an engine may have loaded,
-        # died and come back cold. Held for loaded, it would never get a turn.
+        # The caller has just read that the engine lacks its weights. It may have loaded
+        # them before and restarted; still recorded as loaded, it would get no slot.
         self._loaded.discard(engine.name)
         domains = {configuration.targets[name].failure_domain for name in orders}
         limit = math.ceil(configuration.parallel_loads / len(domains))
@@ -71,7 +71,7 @@
                 (occupying if occupies else done).add(name)
 
     async def _async_occupies_slot(self, name: str, order: EngineOrder) -> bool:
-        """Return whether an engine takes up a turn; remember that it has loaded."""
+        """Return whether an engine occupies a slot; record it if it has loaded."""
         try:
             state = await self._async_read_state(self._host.configuration.targets[name])
         except TargetError:
--- a/libraries/daemon/tarragonward_daemon/main.py
+++ b/libraries/daemon/tarragonward_daemon/main.py
@@ -15,7 +15,7 @@
 
 __all__ = ["run"]
 
-# The table stands in docs/OPERATIONS.md.
+# Documented in docs/OPERATIONS.md.
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_BAD_SETTINGS = 2
@@ -42,7 +42,7 @@
 
 
 async def _async_run(settings: Settings) -> int:
-    """Serve until told to stop; a second signal, or the limit, ends a drain."""
+    """Serve until a signal starts a drain; a second one, or its timeout, ends it."""
     daemon = Daemon(settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/libraries/daemon/tarragonward_daemon/membership.py
+++ b/libraries/daemon/tarragonward_daemon/membership.py
@@ -1,4 +1,4 @@
-"""Read the host list, and keep the view of the other hosts by gossip."""
+"""Read the host list, and maintain this host's view of the others by gossip."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class _HostList:
-    """A host list as a replica gave it, under its tag."""
+    """A replica's host list, with its entity tag."""
 
     entries: tuple[ListedHost, ...]
     targets: tuple[ListedTarget, ...]
@@ -58,9 +58,9 @@
 
 
 class MembershipTask:
-    """Own the reading of the host list, the gossip and its clock.
+    """Read the host list, exchange gossip, and drive membership's timer.
 
-    All that it tells is a hint, which may be late or wrong and costs speed only.
+    Its results are hints: they may be late or wrong, which only costs speed.
     """
 
     def __init__(self, host: HostState) -> None:
@@ -78,25 +78,25 @@
         self._background = BackgroundTasks(host.metrics)
 
     async def async_setup(self) -> None:
-        """Start to read and to gossip."""
+        """Start to read the host list and to gossip."""
         self._background.start("host_list", self._async_read)
         self._background.start("gossip", self._async_tick)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop all tasks and close the links of gossip."""
         await self._background.async_unload()
         await self._transport.async_unload()
 
     def is_gone(self, identity: HostIdentity) -> bool:
-        """Return whether that life of a host is over, as far as this host can tell.
+        """Return whether this incarnation of a host has ended, in this host's view.
 
-        A hint: an engine stream of an owner that is alive after all is cancelled
-        and started again.
+        A hint: if the owner of an engine stream is alive after all, its stream is
+        cancelled and started again.
         """
         return self.membership.is_gone(identity, _now())
 
     def is_watcher(self, target_name: str) -> bool:
-        """Return whether this host is one of the few that watch a target."""
+        """Return whether this host is one of the watchers of a target."""
         state = self._host.configuration_state
         target = state and state.configuration.targets.get(target_name)
         if not target:
@@ -104,45 +104,45 @@
         return self.membership.is_watcher(target_name, target.failure_domain)
 
     def count_live_hosts(self) -> int:
-        """Return how many hosts are there, this one with them."""
+        """Return the number of live hosts, including this one."""
         return self.membership.count_live_hosts()
 
     def get_demand(self) -> dict[str, float]:
-        """Return tokens a second by client account on the other live hosts.
+        """Return the other live hosts' demand in tokens per second by account.
 
-        Under OTHER_ACCOUNTS is the sum of accounts too small to be told apart.
+        OTHER_ACCOUNTS holds the sum of accounts too small to be sent separately.
         """
         return self.membership.get_demand(_now())
 
     def set_own_demand(self, rates: Mapping[str, float]) -> None:
-        """Set this host's own demand in tokens a second by client account."""
+        """Set this host's own demand in tokens per second by client account."""
         self.membership.demands.set_own_rates(rates, _now())
 
     def set_leaving(self) -> None:
-        """Tell the other hosts that this one drains."""
+        """Announce to the other hosts that this one drains."""
         self.membership.set_leaving()
 
     def record_load(self, report: LoadReport) -> None:
-        """Take over a load report that this host read itself."""
+        """Record a load report that this host read from an engine."""
         self.membership.loads.record(report)
 
     def get_load(self, target_name: str) -> LoadReport | None:
-        """Return the newest load report of a target, wherever it was read."""
+        """Return the newest load report of a target, from any host."""
         return self.membership.loads.get(target_name)
 
     def add_peer_ahead_listener(self, callback: Callable[[Address, int], None]) -> None:
-        """Call back with a peer's address and log sequence when it is ahead."""
+        """Add a callback for the address and log sequence of a peer that is ahead."""
         self._transport.peer_ahead_callbacks.append(callback)
 
     def handle_gossip(self, peer: HostIdentity, message: Gossip) -> Gossip:
-        """Answer another host's probe."""
+        """Return the answer to another host's probe."""
         answer = self._transport.handle(GossipReceived(peer, message))
         if answer is None:
             raise FrameError("a probe without an answer")
         return answer
 
     async def async_probe_indirectly(self, message: IndirectProbe) -> IndirectAck:
-        """Probe a host for another that gets no answer from it."""
+        """Probe a host on behalf of a peer that gets no answer from it."""
         return await self._transport.async_probe_indirectly(message)
 
     async def _async_tick(self) -> None:
@@ -174,8 +174,8 @@
             await asyncio.sleep(c.HOST_LIST_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
 
     async def _async_read_list(self, replica: Address) -> None:
-        # The list of a large fleet is over 100 KB and is read every two seconds. Most
-        # reads find it unchanged, and then only its tag travels.
+        # The list of a large fleet is over 100 KB and is read every two seconds. It is
+        # usually unchanged, and then a conditional request transfers only its tag.
         headers = {"accept-encoding": "gzip"}
         if replica in self._lists:
             headers["if-none-match"] = self._lists[replica].tag
@@ -212,7 +212,7 @@
 
 
 def parse_list(answer: HttpAnswer) -> _HostList:
-    """Return the host list that a replica answered, packed or plain."""
+    """Return the host list in a replica's answer, which may be gzipped."""
     body = answer.body
     if answer.headers.get("content-encoding") == "gzip":
         body = gzip.decompress(body)
--- a/libraries/daemon/tarragonward_daemon/model_run.py
+++ b/libraries/daemon/tarragonward_daemon/model_run.py
@@ -1,4 +1,4 @@
-"""Run one model request: carry its life cycle's effects to engines and caller."""
+"""Run one model request: apply its life cycle's effects to engines and caller."""
 
 from __future__ import annotations
 
@@ -68,17 +68,17 @@
 
 
 class Sink(Protocol):
-    """Where an answer's text goes."""
+    """The receiver of an answer's text."""
 
     def set_target(self, target: str) -> None:
-        """Note which engine the answer comes from."""
+        """Set the engine that produces the answer."""
 
     async def async_deliver(self, text: str, tokens: int) -> None:
-        """Give text of so many tokens to the caller; wait while it has no room."""
+        """Deliver text with its number of tokens; wait if the caller reads slowly."""
 
 
 class SharedResources(Protocol):
-    """What the runs of one host share."""
+    """What the model requests of one host share."""
 
     host: HostState
     reports: ReportTask
@@ -96,12 +96,12 @@
         """Return whether a target must get no new work."""
 
     def get_engines(self, model: str) -> list[Target]:
-        """Return the engines of a model that take new work."""
+        """Return the engines of a model that accept new work."""
 
 
 @dataclass(eq=False)
 class _StreamReader:
-    """One stream on one engine while it is read; silent_since is in loop time."""
+    """A stream while it is read; silent_since is event loop time."""
 
     stream: EngineStream
     task: asyncio.Task[None]
@@ -125,7 +125,7 @@
 
 @dataclass(eq=False)
 class _Attempt:
-    """One attempt's task, and its reading once it was placed."""
+    """One attempt's task, and its stream reader once it was placed."""
 
     number: int
     task: asyncio.Task[None] | None = None
@@ -135,7 +135,7 @@
 
 
 class ModelRun:
-    """One request's task: it owns the life cycle, the attempt and the event queue."""
+    """Run one request: it owns the life cycle, the attempt and the event queue."""
 
     def __init__(
         self,
@@ -155,7 +155,7 @@
         self._lifecycle = RequestLifecycle(
             request_id, deadline, shared.budget, completion.max_tokens
         )
-        # Bounded: a slow reader stops the attempt's reading, and so the engine's.
+        # Bounded for backpressure: a slow caller pauses the reading from the engine.
         self._events: asyncio.Queue[Event] = asyncio.Queue(MAX_QUEUED_EVENTS)
         self._delivered_texts: list[str] = []
         self._attempt: _Attempt | None = None
@@ -166,7 +166,7 @@
         self._end: EndRequest | None = None
 
     async def async_run(self) -> EndRequest:
-        """Run the request to its one terminal event."""
+        """Run the request to its terminal event."""
         effects = self._lifecycle.start(self._loop.time())
         while True:
             for effect in effects:
@@ -177,7 +177,7 @@
             effects = self._lifecycle.handle(event, self._loop.time())
 
     async def async_unload(self) -> None:
-        """Release what the request still holds, however it ended."""
+        """Release everything that the request still holds, however it ended."""
         if not self._lifecycle.has_ended:
             self._lifecycle.handle(CallerDisconnected(), self._loop.time())
         await self._async_abandon_attempt()
@@ -185,7 +185,7 @@
         self._shared.placement.release(self._request_id)
 
     def stop(self) -> None:
-        """End the request before anything that waits in its queue."""
+        """End the request, discarding its queued events."""
         while not self._events.empty():
             self._events.get_nowait()
         self._events.put_nowait(DrainTimeoutExpired())
@@ -213,9 +213,9 @@
     async def _async_run_attempt(
         self, attempt: _Attempt, effect: StartAttempt
     ) -> Event:
-        # The process may have been paused since the attempt was decided on. Symptom:
-        # work for a caller that has given up. A pause after this check costs no more
-        # than the engine's work until the deadline's event cancels the stream.
+        # The process may have been paused since this attempt was decided, and the
+        # caller may be gone. After a pause later than this check, the engine works
+        # only until the deadline's event cancels the stream.
         if self._loop.time() >= self._lifecycle.deadline:
             return DeadlineTimerFired()
         stream = attempt.resumed
@@ -258,10 +258,10 @@
         return placed
 
     def build_placement_request(self, attempt: int, now: float) -> PlacementRequest:
-        """Return what is asked of placement for an attempt, counted from 1."""
-        # Admission refuses what is predicted to end late, and predicts with care.
-        # Symptom for a failover: an admitted answer is given up with seconds to
-        # spare. It was admitted once; from then on only its deadline ends it.
+        """Return the placement request for an attempt, counted from 1."""
+        # Admission refuses requests that are predicted to end late, and its predictions
+        # are cautious: applied to a failover, it would abort an admitted answer with
+        # seconds to spare. After the first attempt only the deadline ends a request.
         remaining = self._lifecycle.deadline - now if attempt == 1 else math.inf
         delivered = self._lifecycle.delivered_tokens
         return PlacementRequest(
@@ -297,8 +297,9 @@
             )
             if is_new:
                 log_event("target_excluded", target=target, reason=fault.value)
-            # An engine that lost a connection or a stream may be sound, and may be
-            # the last one; outlier detection counts such losses.
+            # An engine that lost a connection or a stream may be healthy, and may be
+            # the only one left, so it can be chosen again. Outlier detection counts
+            # these faults.
             if fault not in TRANSIENT_FAULTS:
                 self._failed_engines.add(target)
         log_event(
@@ -341,7 +342,7 @@
                     TextArrived(attempt.number, item.offset, item.pieces)
                 )
                 reader.silent_since = self._loop.time()
-        raise ConnectionLostError("the stream ended without its finish")
+        raise ConnectionLostError("stream ended without a finish line")
 
     def _build_body(self, offset: int) -> dict[str, object]:
         return {
@@ -357,9 +358,9 @@
     async def _async_drain_stream(
         self, reader: _StreamReader, items: AsyncIterator[StreamText | StreamEnd]
     ) -> None:
-        # An engine frees a stream that was read to its end. Symptom of closing on the
-        # finish line: the engine sees a lost reader and keeps the memory. Where the
-        # end does not come, the stream is cancelled like any other.
+        # An engine frees a stream that was read to its end. If the connection were
+        # closed at the finish line, the engine would see a lost reader and keep the
+        # memory. If the end does not arrive in time, the stream is cancelled.
         try:
             async with asyncio.timeout(c.STREAM_END_TIMEOUT_SECONDS):
                 async for _ in items:
@@ -387,7 +388,7 @@
 
 @singledispatch
 async def _async_apply(effect: Effect, run: ModelRun) -> None:
-    raise TypeError(f"not an effect: {effect!r}")
+    raise TypeError(f"unknown effect: {effect!r}")
 
 
 @_async_apply.register
@@ -419,8 +420,8 @@
             get_length_class(run._completion.prompt_tokens),
         )
     run._delivered_texts.append(effect.text)
-    # A caller that reads nothing must not hold its engine. Symptom: the request
-    # waits here past its deadline. The next event then finds the deadline passed.
+    # Without a timeout, a caller that stops reading would keep the request here past
+    # its deadline, and its engine busy. The next event then detects the deadline.
     timeout = asyncio.timeout_at(run._lifecycle.deadline)
     try:
         async with timeout:
--- a/libraries/daemon/tarragonward_daemon/models.py
+++ b/libraries/daemon/tarragonward_daemon/models.py
@@ -1,4 +1,4 @@
-"""Make the runs of model requests, and hold what they share."""
+"""Run model requests, and hold the state that they share."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ModelRequests:
-    """Make the tasks of model requests, and hold what they share."""
+    """Run model requests, and hold the state that they share."""
 
     def __init__(
         self,
@@ -48,12 +48,12 @@
         self._runs: set[ModelRun] = set()
 
     async def async_setup(self) -> None:
-        """Start to watch the engines that work waits for."""
+        """Start the probes of engines and the reading of cache events."""
         await self.probes.async_setup()
         await self.prefixes.async_setup()
 
     async def async_unload(self) -> None:
-        """Stop watching."""
+        """Stop the probes and the reading of cache events."""
         await self.prefixes.async_unload()
         await self.probes.async_unload()
 
@@ -63,7 +63,7 @@
         return published is None or target.name in self.membership.leaving_targets
 
     def get_engines(self, model: str) -> list[Target]:
-        """Return the engines of a model that take new work."""
+        """Return the engines of a model that accept new work."""
         engines = self.host.configuration.get_engines(model)
         return [engine for engine in engines if not self.is_leaving(engine)]
 
@@ -75,7 +75,7 @@
         deadline: float,
         sink: Sink,
     ) -> EndRequest:
-        """Run one request to its end; deadline is in the loop's time."""
+        """Run one request to its end; deadline is event loop time."""
         if completion.model not in self.host.configuration.models:
             raise RequestRefusedError(ResultCode.UNKNOWN_MODEL)
         run = ModelRun(self, request_id, account, completion, deadline, sink)
@@ -84,15 +84,15 @@
             stack.callback(self._runs.discard, run)
             stack.push_async_callback(run.async_unload)
             end = await run.async_run()
-        # The process may have been paused since the end was decided. Symptom: a whole
-        # answer that its caller has given up on. No await stands between this look at
-        # the clock and the answer's first byte.
+        # The process may have been paused since the end was decided, and a complete
+        # answer may be late by now. There is no await between this check and the
+        # first byte of the answer.
         is_late = asyncio.get_running_loop().time() >= deadline
         if end.code is ResultCode.OK and is_late:
             return EndRequest(ResultCode.DEADLINE_EXCEEDED, end.finish_reason)
         return end
 
     def stop_all(self) -> None:
-        """End every request in progress, each with its answer."""
+        """End every request in progress; each still sends its answer."""
         for run in list(self._runs):
             run.stop()
--- a/libraries/daemon/tarragonward_daemon/operators.py
+++ b/libraries/daemon/tarragonward_daemon/operators.py
@@ -1,4 +1,4 @@
-"""Serve the operators' routes, on a port of their own."""
+"""Serve the operators' HTTP routes, on a separate port."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class OperatorRoutes:
-    """Answer the balancer, scrapers and operators."""
+    """Handle requests of the load balancer, metrics scrapers and operators."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         )
 
     def check_head(self, head: HttpHead) -> None:
-        """Refuse what its head already forbids, before a body costs memory."""
+        """Refuse an invalid request by its head, before its body is buffered."""
         if head.path not in OPEN_ROUTES:
             self._authenticate(head)
         if head.path not in METHODS:
@@ -61,7 +61,7 @@
             raise RequestRefusedError(ResultCode.METHOD_NOT_ALLOWED, detail)
 
     async def async_handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one request that check_head let through."""
+        """Handle one request that check_head accepted."""
         match request.path:
             case c.ROUTE_HEALTH:
                 healthy = self._is_healthy()
@@ -84,7 +84,7 @@
     async def _async_send_metrics(
         self, request: HttpRequest, responder: Responder
     ) -> None:
-        """Send the exposition, packed if the scraper takes it: some 30 times less."""
+        """Send the metrics, gzipped (about 30 times smaller) if accepted."""
         body, headers = self._host.metrics.write_exposition(), EXPOSITION
         if "gzip" in request.headers.get("accept-encoding", ""):
             body = gzip.compress(body)
--- a/libraries/daemon/tarragonward_daemon/orders.py
+++ b/libraries/daemon/tarragonward_daemon/orders.py
@@ -1,4 +1,4 @@
-"""Order engines to load what is published, and check that they did."""
+"""Order engines to load the published models, and check that they did."""
 
 from __future__ import annotations
 
@@ -34,13 +34,14 @@
 
 
 class _OrderTooOldError(Exception):
-    """Stop before the first byte: the look that allowed the order is too long ago."""
+    """Abort before the first byte: the order's decision is out of date."""
 
 
 class OrderTask:
-    """Own the watch over the engines that are this host's to order about.
+    """Check and order the engines that this host watches.
 
-    Which hosts watch an engine is a hint: whoever sends, all send the same order.
+    Hosts may disagree on who watches an engine, which is harmless: all hosts send the
+    same order.
     """
 
     def __init__(
@@ -56,11 +57,11 @@
         self._background = BackgroundTasks(host.metrics)
 
     async def async_setup(self) -> None:
-        """Start to watch."""
+        """Start to check engines."""
         self._background.start("orders", self._async_run)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop checking engines."""
         await self._background.async_unload()
 
     async def _async_run(self) -> None:
@@ -69,7 +70,7 @@
             await self._async_check_all()
 
     def _get_interval(self) -> float:
-        """Return the seconds between looks: longer in a large fleet, within bounds."""
+        """Return the seconds between checks, which grow with the number of hosts."""
         seconds = (
             self._membership.count_live_hosts() * c.ORDER_INTERVAL_SECONDS_PER_HOST
         )
@@ -136,7 +137,9 @@
 
     async def _async_verify_then_send(self, engine: Target, order: EngineOrder) -> None:
         if not await self._configuration.async_verify_newest():
-            log_event("order_held_back", engine=engine.name, reason="no fresh look")
+            log_event(
+                "order_held_back", engine=engine.name, reason="state not verified"
+            )
             return
         if self._host.configuration_number == order.fencing:
             await self._async_send(engine, order)
@@ -145,10 +148,10 @@
         decided_at = _now()
 
         def check_age() -> None:
-            # A host paused after its look wakes with an old order. Symptom: an engine
-            # that ignores fencing goes back to an old version. No await stands between
-            # this check and the write; what is paused on the wire after it is put
-            # right by the next check of another host.
+            # A host that was paused after its check resumes with an old order, and an
+            # engine that ignores fencing would revert to an old version. There is no
+            # await between this check and the write; an order delayed by the network
+            # after it is corrected by the next check of another host.
             is_current = self._host.configuration_number == order.fencing
             if not is_current or _now() - decided_at > c.ORDER_MAX_AGE_SECONDS:
                 raise _OrderTooOldError
@@ -184,7 +187,7 @@
 
 
 def choose_watchers(engine: str, hosts: list[str]) -> list[str]:
-    """Return the few hosts that watch an engine, by rendezvous hash."""
+    """Return the hosts that watch an engine, chosen by rendezvous hash."""
     return sorted(hosts, key=lambda host: _score(engine, host))[: c.ORDER_WATCHERS]
 
 
--- a/libraries/daemon/tarragonward_daemon/owned_calls.py
+++ b/libraries/daemon/tarragonward_daemon/owned_calls.py
@@ -1,4 +1,4 @@
-"""Send the non-idempotent calls whose keys this host owns, each at most once."""
+"""Send non-idempotent calls whose keys this host owns, each at most once."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class _NotSentError(Exception):
-    """Stop before the first byte: the ledger does not allow to send any more."""
+    """Abort before the first byte: the ledger no longer allows sending the call."""
 
 
 class OwnedCalls:
-    """Own the ledger, and one task for each call that is being sent.
+    """Own the call ledger, and one task for each call that is being sent.
 
-    The task belongs to the owner, not to a caller's connection: a caller that leaves
-    must not end it, or the outcome would be known to nobody.
+    The task is not bound to a caller's connection: if a caller that disconnects ended
+    it, no host would know the outcome.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._sending: dict[str, asyncio.Task[None]] = {}
 
     async def async_unload(self) -> None:
-        """End what is still being sent."""
+        """Cancel the calls that are still being sent."""
         tasks = list(self._sending.values())
         for task in tasks:
             task.cancel()
@@ -58,7 +58,7 @@
         return self.ledger.choose_mint_time(_now())
 
     def close(self) -> None:
-        """Take no new call any more; go on answering repeats."""
+        """Accept no new calls; still answer repeats."""
         self.ledger.close()
 
     async def async_run(self, call: ServiceCall, key: CallKey) -> Reply:
@@ -86,7 +86,7 @@
 
     async def _async_send_once(self, call: ServiceCall, key: str) -> None:
         with ExitStack() as stack:
-            # A drain waits for this call, though its caller may have left.
+            # A drain waits for this call even if its caller has disconnected.
             self._host.enter_request()
             stack.callback(self._host.leave_request)
             try:
@@ -133,7 +133,7 @@
         return self._record_not_run(key, code)
 
     def _record_not_run(self, key: str, code: ResultCode) -> Reply:
-        # A repeat that read the record after the deadline has left the tombstone.
+        # A repeat that read the record after the deadline may have ended it already.
         reply = self.ledger.read(key, _now())
         if reply.code is not ResultCode.IN_PROGRESS:
             return reply
@@ -157,8 +157,8 @@
                 f"/operations/{call.operation}",
                 headers={"content-type": call.content_type, c.HEADER_CALL_KEY: key},
                 body=call.body,
-                # What was sent may still be answered after the caller's limit; its
-                # repeats then get the answer instead of "unknown".
+                # A call that was sent may be answered after the caller's deadline;
+                # repeats then get that answer instead of "unknown".
                 timeout=remaining + c.SENT_CALL_GRACE_SECONDS,
                 connect_timeout=min(c.SERVICE_CONNECT_TIMEOUT_SECONDS, remaining),
                 before_write=mark_sent,
--- a/libraries/daemon/tarragonward_daemon/peers.py
+++ b/libraries/daemon/tarragonward_daemon/peers.py
@@ -1,4 +1,4 @@
-"""Answer what other hosts send, by the message's type."""
+"""Handle messages from other hosts by their type."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PeerMessages:
-    """Hand each kind of message to the task that it is for."""
+    """Dispatch each type of message to the task that handles it."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._membership = membership
 
     async def async_handle(self, peer: HostIdentity, message: Any) -> Any:
-        """Return the answer to a peer's message, or None."""
+        """Handle a peer's message; return the answer, None if it needs none."""
         return await _async_handle(message, self, peer)
 
 
--- a/libraries/daemon/tarragonward_daemon/prefixes.py
+++ b/libraries/daemon/tarragonward_daemon/prefixes.py
@@ -1,4 +1,4 @@
-"""Read the cache events of the engines that this host uses."""
+"""Read prefix cache events of the engines that this host uses."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 
 def hash_prompt(prompt: str) -> tuple[int, ...]:
-    """Return the hashes of a prompt's whole blocks, as engines take them."""
+    """Return the hashes of a prompt's complete blocks, as engines compute them."""
     return hash_blocks(prompt.encode(), BLOCK_TOKENS * c.BYTES_PER_TOKEN)
 
 
 class PrefixTask:
-    """Own the reading of cache events.
+    """Read cache events of the engines that this host recently sent prompts to.
 
-    A host reads those of the engines that it sent prompts to of late, a few at a
-    time: its load bounds what it reads, however many engines there are.
+    Only a few engines are read at a time, so the cost depends on this host's load and
+    not on the number of engines.
     """
 
     def __init__(self, index: PrefixIndex, metrics: Metrics) -> None:
@@ -39,15 +39,15 @@
         self._background = BackgroundTasks(metrics)
 
     async def async_setup(self) -> None:
-        """Start to read."""
+        """Start to read cache events."""
         self._background.start("prefixes", self._async_run)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop reading."""
         await self._background.async_unload()
 
     def mark_used(self, target: Target) -> None:
-        """Read an engine's events for a while."""
+        """Read an engine's events until it is unused for the retention period."""
         self._recently_used[target.name] = target, asyncio.get_running_loop().time()
 
     async def _async_run(self) -> None:
@@ -76,7 +76,7 @@
             )
             report = answer.parse_json()
             if int(report["sequence"]) < after:
-                # The engine began again and its cache is empty.
+                # The engine has restarted and its cache is empty.
                 self._index.forget(target.name)
                 return
             self._index.update(target.name, map(_parse_event, report["events"]))
--- a/libraries/daemon/tarragonward_daemon/reports.py
+++ b/libraries/daemon/tarragonward_daemon/reports.py
@@ -1,4 +1,4 @@
-"""Read the load reports of watched engines, and show all to placement."""
+"""Read the load reports of watched engines, and build placement's view of all."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class ReportTask:
-    """Own the reading of load reports.
+    """Read load reports.
 
-    Each engine is read by the few hosts of its domain that watch it; the others
-    hear of it by gossip, with the report's age.
+    Each engine is read by its few watchers in its failure domain; the other hosts get
+    the report, with its age, by gossip.
     """
 
     def __init__(self, host: HostState, membership: MembershipTask) -> None:
@@ -37,15 +37,15 @@
         self._background = BackgroundTasks(host.metrics)
 
     async def async_setup(self) -> None:
-        """Start to read."""
+        """Start to read load reports."""
         self._background.start("reports", self._async_read)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop reading."""
         await self._background.async_unload()
 
     def build_views(self, engines: list[Target], now: float) -> list[EngineView]:
-        """Return what is known of these engines."""
+        """Return the latest known state of these engines."""
         return [self._build_view(engine, now) for engine in engines]
 
     def _build_view(self, engine: Target, now: float) -> EngineView:
@@ -86,7 +86,7 @@
             await asyncio.sleep(self._get_interval() * random.uniform(0.8, 1.2))
 
     def _get_interval(self) -> float:
-        """Return the seconds between reads: more with more hosts, as gossip's round."""
+        """Return the seconds between reads, longer with more hosts, as for gossip."""
         seconds = (
             self._membership.count_live_hosts() * c.REPORT_INTERVAL_SECONDS_PER_HOST
         )
@@ -129,10 +129,10 @@
 def build_fleet_view(
     host: HostState, membership: MembershipTask, model: str
 ) -> FleetView:
-    """Return what this host knows of the others, and of all of a model's engines."""
+    """Return this host's view of the other hosts and of all engines of a model."""
     accounts = host.configuration.client_accounts.values()
     weights = {account.name: account.weight for account in accounts}
-    # The sum of accounts too small to be told apart weighs as all of them do.
+    # Accounts too small to be sent separately share the weight of all accounts.
     weights[OTHER_ACCOUNTS] = sum(weights.values())
     engines = host.configuration.get_engines(model)
     published_kv_tokens = tuple(engine.kv_tokens for engine in engines)
--- a/libraries/daemon/tarragonward_daemon/sweep.py
+++ b/libraries/daemon/tarragonward_daemon/sweep.py
@@ -1,4 +1,4 @@
-"""Cancel on engines what hosts that are gone, or this host itself, left behind."""
+"""Cancel orphaned streams and reservations on engines."""
 
 from __future__ import annotations
 
@@ -26,7 +26,11 @@
 
 
 class SweepTask:
-    """Own the sweep of the engines that this host watches."""
+    """Sweep the engines that this host watches.
+
+    Orphans are resources of hosts that are gone, and resources of this host that no
+    request uses.
+    """
 
     def __init__(
         self,
@@ -43,11 +47,11 @@
         self._background = BackgroundTasks(host.metrics)
 
     async def async_setup(self) -> None:
-        """Start to sweep."""
+        """Start the periodic sweep."""
         self._background.start("sweep", self._async_run)
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop the sweep."""
         await self._background.async_unload()
 
     async def _async_run(self) -> None:
@@ -69,7 +73,7 @@
             await self._async_probe_owners()
 
     def _get_interval(self) -> float:
-        """Return the seconds between sweeps: more with more hosts, as they share."""
+        """Return the seconds between sweeps; more hosts share the work."""
         seconds = (
             self._membership.count_live_hosts() * c.SWEEP_INTERVAL_SECONDS_PER_HOST
         )
@@ -110,9 +114,10 @@
             self._sweep.record_owner_status(identity, status, now)
 
     async def _async_probe_owner(self, owner: HostIdentity) -> OwnerStatus:
-        """Return what answers at an owner's address: it, another, or nobody.
+        """Return whether the owner, another incarnation or nobody has its address.
 
-        Membership says who is worth a look; its view is a hint, so the look decides.
+        Only owners that membership considers gone are probed. Its view is only a hint,
+        so the probe decides.
         """
         if not self._membership.is_gone(owner):
             return OwnerStatus.ALIVE
@@ -138,7 +143,7 @@
 
 
 async def _async_read_held(target: Target) -> list[HeldResource] | None:
-    """Return what is held on an engine, or None where it does not answer."""
+    """Return the resources held on an engine, None if it does not answer."""
     try:
         answer = await async_send_http(
             target.address, "GET", "/v1/load", timeout=c.REPORT_TIMEOUT_SECONDS
