--- a/libraries/daemon/tests/test_configuration_peers.py
+++ b/libraries/daemon/tests/test_configuration_peers.py
@@ -1,4 +1,4 @@
-"""Tests of whom a host exchanges the configuration with."""
+"""Tests of the exchange of the configuration between hosts."""
 
 import asyncio
 from types import SimpleNamespace
@@ -30,8 +30,8 @@
     return [str(member.listed.address) for member in members]
 
 
-def test_each_of_320_hosts_is_reached_over_its_neighbours_in_a_few_steps():
-    """A patch is pushed from one host on; all must have it within a few pushes."""
+def test_pushes_and_pulls_over_neighbours_reach_each_of_320_hosts():
+    """A patch that one host pushes must reach all hosts within a few pushes."""
     members = make_members(320)
     chosen = {
         str(m.listed.address): get_addresses(
@@ -46,15 +46,15 @@
     assert {len(neighbours) for neighbours in chosen.values()} == {5}
     reached, steps = {get_addresses(members)[0]}, 0
     while steps < 8:
-        reached |= {near for host in reached for near in chosen[host]}
+        reached |= {neighbour for host in reached for neighbour in chosen[host]}
         steps += 1
-    # The few whom nobody chose pull for themselves, from one that was reached.
+    # The few hosts that are nobody's neighbour pull from one that was reached.
     missing = [host for host in chosen if host not in reached]
     assert len(missing) < 10
     assert all(set(chosen[host]) <= reached for host in missing)
 
 
-def test_hosts_known_to_be_gone_are_neighbours_last():
+def test_dead_hosts_are_chosen_as_neighbours_last():
     members = make_members(40)
     first = choose_neighbours("ours", "domain-0", members)
     for member in first:
@@ -64,39 +64,39 @@
     assert len(second) == 5
 
 
-def test_every_engine_is_watched_by_two_hosts_even_where_views_differ():
+def test_two_hosts_watch_an_engine_and_one_remains_if_views_differ():
     hosts = get_addresses(make_members(20))
     assert len(choose_watchers("engine-1", hosts)) == 2
     one, other = (choose_watchers("engine-1", hosts[n:]) for n in (0, 1))
     assert set(one) & set(other)
 
 
-class SlowLinks:
+class FailingLinks:
     def __init__(self):
-        self.asked = []
+        self.requested = []
 
     async def async_request(self, address, message, timeout, inactivity_timeout):
-        self.asked.append(address)
+        self.requested.append(address)
         await asyncio.sleep(0)
-        raise ConnectionLostError("cut")
+        raise ConnectionLostError("connection lost")
 
 
-async def test_a_host_pulls_from_whoever_gossip_shows_ahead_one_at_a_time():
-    """All neighbours are out of reach; gossip tells of hosts with a newer patch.
+async def test_a_host_pulls_from_peers_that_are_ahead_one_at_a_time():
+    """All neighbours are unreachable, and gossip shows peers with a newer patch.
 
-    The host pulls from one of them, not from all who tell it at once, and from the
-    next where that one did not answer. Nobody is asked for what is known already.
+    The host pulls from one of them at a time, and from the next one if the first does
+    not answer. It does not pull what it already has.
     """
-    links = SlowLinks()
+    links = FailingLinks()
     peers = ConfigurationPeers(None, links, None, ConfigurationHistory(), None)
     addresses = [Address("127.0.0.2", port) for port in (1, 2, 3)]
     peers.handle_peer_ahead(addresses[0], -1)
-    assert not links.asked
+    assert not links.requested
     for address in addresses[:2]:
         peers.handle_peer_ahead(address, 7)
     await asyncio.sleep(0.01)
-    assert links.asked == addresses[:1]
+    assert links.requested == addresses[:1]
     peers.handle_peer_ahead(addresses[2], 7)
     await asyncio.sleep(0.01)
-    assert links.asked == [addresses[0], addresses[2]]
+    assert links.requested == [addresses[0], addresses[2]]
     await peers.async_unload()
--- a/libraries/daemon/tests/test_configuration_task.py
+++ b/libraries/daemon/tests/test_configuration_task.py
@@ -1,4 +1,4 @@
-"""Tests of one host's watch of several replicas, in one process."""
+"""Tests of one host that watches several replicas, in one process."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from tarragonward_standins import FaultProxy, PlatformStandIn
 from tarragonward_wire import PeerLinks
 
-IN_FORCE_SECONDS = 8.0
+ACTIVE_TIMEOUT_SECONDS = 8.0
 DOCUMENT = {
     "client_accounts": {"shelfwise": {"token_sha256": ["0" * 64], "weight": 1}},
     "models": {},
@@ -68,34 +68,34 @@
         await part.async_unload()
 
 
-async def async_wait_in_force(host, number):
-    async with asyncio.timeout(IN_FORCE_SECONDS):
+async def async_wait_until_active(host, number):
+    async with asyncio.timeout(ACTIVE_TIMEOUT_SECONDS):
         while getattr(host.configuration_state, "number", -1) != number:
             await asyncio.sleep(0.02)
 
 
-async def test_a_patch_is_in_force_in_time_though_two_of_three_replicas_are_stale(
+async def test_a_patch_is_active_in_time_if_two_of_three_replicas_are_stale(
     make_host,
 ):
-    """Two of three replicas lag; each holds the watch up before the third is read.
+    """Two of three replicas lag, and watching each delays the read of the third.
 
-    The host has no peers. The patch must be in force within 8 s all the same, and the
-    stale replicas must not take it back.
+    The host has no peers. The patch must be active within 8 s, and the stale replicas
+    must not revert it.
     """
     platforms, host, _ = await make_host(replicas=3)
-    await async_wait_in_force(host, 0)
+    await async_wait_until_active(host, 0)
     await platforms[0].async_publish(0, set_weight(5))
-    await async_wait_in_force(host, 1)
+    await async_wait_until_active(host, 1)
     await asyncio.sleep(6)
     assert host.configuration_state.number == 1
     assert host.metrics.get_count("configuration_stale_reads") > 0
 
 
-async def test_a_large_configuration_comes_over_a_thin_link(make_host):
-    """A host that was replaced admits no work, and tells its callers to come back.
+async def test_a_large_configuration_is_read_over_a_slow_link(make_host):
+    """The transfer of a new host's first configuration takes three seconds.
 
-    The configuration is on its way to it for three seconds. Given up after two, it is
-    asked for again and again, and never comes.
+    With a timeout of two seconds for the whole transfer, each read would be aborted
+    and the host would never admit work.
     """
     accounts = {
         f"account-{number}": {"token_sha256": [f"{number:064x}"], "weight": 1}
@@ -104,20 +104,20 @@
     document = {**DOCUMENT, "client_accounts": accounts}
     size = len(json.dumps(document))
     _, host, _ = await make_host(document=document, bytes_a_second=size / 3)
-    await async_wait_in_force(host, 0)
+    await async_wait_until_active(host, 0)
 
 
-async def test_a_forked_log_is_refused_visibly_and_not_read_in_a_loop(make_host):
-    """The platform is restored from a backup, and other patches are published on top.
+async def test_a_forked_log_is_refused_and_not_read_in_a_busy_loop(make_host):
+    """The platform is restored from a backup, and then publishes other patches.
 
-    The host keeps what was in force, counts the fork, and asks about twice a second:
-    a log that it can't use must not be read as fast as the service answers.
+    The host keeps its active state, counts the fork, and reads about twice a second:
+    it must not read an unusable log as fast as the service answers.
     """
     platforms, host, task = await make_host()
     platform = platforms[0]
-    await async_wait_in_force(host, 0)
+    await async_wait_until_active(host, 0)
     await platform.async_publish(0, set_weight(5))
-    await async_wait_in_force(host, 1)
+    await async_wait_until_active(host, 1)
     platform.log[:] = [LogEntry(1, 0, tuple(set_weight(7)))]
     await platform.async_publish(1, set_weight(8))
     reads = platform.reads
@@ -128,13 +128,13 @@
     assert not await task.async_verify_newest()
 
 
-async def test_refused_patches_are_kept_for_operators_with_their_reasons(make_host):
+async def test_refused_patches_are_listed_with_reasons_in_the_status(make_host):
     platforms, host, task = await make_host()
-    await async_wait_in_force(host, 0)
+    await async_wait_until_active(host, 0)
     await platforms[0].async_publish(0, set_weight(5))
     await platforms[0].async_publish(0, set_weight(6))
     await platforms[0].async_publish(1, set_weight(-1))
-    async with asyncio.timeout(IN_FORCE_SECONDS):
+    async with asyncio.timeout(ACTIVE_TIMEOUT_SECONDS):
         while len(task.verdicts) < 3:
             await asyncio.sleep(0.02)
     shown = [(v.sequence, v.base, v.verdict) for v in task.verdicts]
@@ -149,11 +149,11 @@
     assert invalid["reason"]
 
 
-async def test_a_fresh_look_needs_a_replica_that_is_not_behind(make_host):
+async def test_verification_needs_a_replica_that_is_up_to_date(make_host):
     platforms, host, task = await make_host()
-    await async_wait_in_force(host, 0)
+    await async_wait_until_active(host, 0)
     await platforms[0].async_publish(0, set_weight(5))
-    await async_wait_in_force(host, 1)
+    await async_wait_until_active(host, 1)
     assert await task.async_verify_newest()
     platforms[0].stale_at = 0
     assert not await task.async_verify_newest()
--- a/libraries/daemon/tests/test_host_list.py
+++ b/libraries/daemon/tests/test_host_list.py
@@ -49,10 +49,8 @@
     return MembershipTask(HostState(settings, HostIdentity(own, 1)))
 
 
-async def test_an_unchanged_list_travels_as_its_tag_and_a_changed_one_whole(
-    platform, task
-):
-    """The list of a large fleet is read every two seconds, and seldom changes."""
+async def test_an_unchanged_host_list_is_not_transferred_again(platform, task):
+    """The list of a large fleet is read every two seconds and rarely changes."""
     await task._async_read_list(platform.address)
     first = task._lists[platform.address]
     await task._async_read_list(platform.address)
--- a/libraries/daemon/tests/test_loads.py
+++ b/libraries/daemon/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Tests of whose turn it is to load."""
+"""Tests of the limit of concurrent model loads."""
 
 from types import SimpleNamespace
 
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def fleet():
-    """Give what each engine reports, and the gate of a host that reads them."""
+    """Return the engines' reports, and the load gate of a host that reads them."""
     reports = dict.fromkeys(ENGINES)
 
     async def async_read(target):
@@ -43,25 +43,27 @@
     return reports, LoadGate(SimpleNamespace(configuration=CONFIGURATION), async_read)
 
 
-async def async_get_turns(gate):
+async def async_list_allowed(gate):
     targets = CONFIGURATION.targets
-    turns = [await gate.async_may_load(targets[name], ORDERS) for name in ENGINES]
-    return [name for name, may in zip(ENGINES, turns, strict=True) if may]
+    allowed = [await gate.async_may_load(targets[name], ORDERS) for name in ENGINES]
+    return [
+        name for name, is_allowed in zip(ENGINES, allowed, strict=True) if is_allowed
+    ]
 
 
-async def test_turns_go_on_as_engines_have_loaded(fleet):
+async def test_engines_that_loaded_or_died_free_their_slots(fleet):
     reports, gate = fleet
-    assert await async_get_turns(gate) == ENGINES[:2]
+    assert await async_list_allowed(gate) == ENGINES[:2]
     reports["engine-0"] = LOADED
     reports["engine-1"] = "dead"
     assert await gate.async_may_load(CONFIGURATION.targets["engine-3"], ORDERS)
 
 
-async def test_an_engine_that_restarts_cold_gets_its_turn_again(fleet):
-    """An engine loads, is remembered as loaded, dies and comes back without weights.
+async def test_an_engine_that_restarts_without_weights_may_load_again(fleet):
+    """An engine is recorded as loaded, then restarts without its weights.
 
-    Orders under the same number must reach it again. Were it still held for loaded,
-    its turn would never come, and it would refuse all prompts until the next patch.
+    Orders with the same number must reach it again. If it were still recorded as
+    loaded, it would get no slot and refuse all prompts until the next patch.
     """
     reports, gate = fleet
     reports.update(dict.fromkeys(ENGINES[:3], LOADED))
--- a/libraries/daemon/tests/test_models.py
+++ b/libraries/daemon/tests/test_models.py
@@ -1,4 +1,4 @@
-"""Tests of model requests against an engine stand-in in the same process."""
+"""Tests of model requests against a simulated engine in the same process."""
 
 import asyncio
 from dataclasses import replace
@@ -18,14 +18,14 @@
 COMPLETION = Completion("m", "bay 4", 2, 400, True, False, None)
 
 
-class StuckSink:
-    was_asked = False
+class BlockedSink:
+    was_called = False
 
     def set_target(self, target):
         pass
 
     async def async_deliver(self, text, tokens):
-        self.was_asked = True
+        self.was_called = True
         await asyncio.Event().wait()
 
 
@@ -66,29 +66,29 @@
     await daemon.releases.async_unload()
 
 
-async def test_a_caller_that_reads_nothing_holds_no_engine(daemon, engine):
-    """A phone in the field stops reading a long answer but keeps its connection.
+async def test_a_caller_that_stops_reading_does_not_keep_an_engine_busy(daemon, engine):
+    """A caller stops reading a long answer but keeps its connection open.
 
-    The delivery waits for room that never comes; at the time limit the request ends
-    all the same, and its stream on the engine is cancelled before its answer is whole.
+    Delivery blocks for good. The request must still end at its deadline, and its
+    stream on the engine must be cancelled before the answer is complete.
     """
     loop = asyncio.get_running_loop()
     account = daemon.host.configuration.client_accounts["x"]
     deadline = loop.time() + 0.5
-    sink = StuckSink()
+    sink = BlockedSink()
     running = daemon.models.async_run("r", account, COMPLETION, deadline, sink)
     async with asyncio.timeout(2):
         end = await running
         while engine.model.running:
             await asyncio.sleep(0.01)
-    assert sink.was_asked
+    assert sink.was_called
     assert end.code is ResultCode.DEADLINE_EXCEEDED
     assert daemon.models.active_streams == set()
 
 
-@pytest.mark.parametrize(("asked", "given"), [(None, 5), (0, 0), (-1, -1)])
-async def test_a_requests_own_priority_goes_before_its_accounts(daemon, asked, given):
+@pytest.mark.parametrize(("requested", "expected"), [(None, 5), (0, 0), (-1, -1)])
+async def test_a_requests_priority_overrides_its_accounts(daemon, requested, expected):
     account = replace(daemon.host.configuration.client_accounts["x"], priority=5)
-    completion = replace(COMPLETION, priority=asked)
-    run = ModelRun(daemon.models, "r", account, completion, 1.0, StuckSink())
-    assert run.build_placement_request(1, 0.0).priority == given
+    completion = replace(COMPLETION, priority=requested)
+    run = ModelRun(daemon.models, "r", account, completion, 1.0, BlockedSink())
+    assert run.build_placement_request(1, 0.0).priority == expected
--- a/libraries/daemon/tests/test_order_task.py
+++ b/libraries/daemon/tests/test_order_task.py
@@ -1,4 +1,4 @@
-"""Tests of the sending of orders to engines, in one process."""
+"""Tests of sending orders to engines, in one process."""
 
 import asyncio
 import time
@@ -44,15 +44,15 @@
     return answer.parse_json()["fencing"]
 
 
-@pytest.mark.parametrize("has_moved_on", [True, False])
-async def test_a_pause_after_the_look_sends_no_order(
-    make_engine, monkeypatch, has_moved_on
+@pytest.mark.parametrize("has_new_number", [True, False])
+async def test_no_order_is_sent_after_a_pause_since_the_verification(
+    make_engine, monkeypatch, has_new_number
 ):
-    """A host looks at the service, and is paused before it writes its order.
+    """A host verifies its state with the service, then is paused before it writes.
 
-    Meanwhile another number came into force. Woken, it would order an engine that
-    ignores fencing back to the old version; it finds its look too long ago, or its
-    number no longer in force, and sends nothing.
+    Meanwhile another number may have become active, and the order would revert an
+    engine that ignores fencing. The host must send nothing if its verification is too
+    old or its number is no longer active.
     """
     engine, task = await make_engine(True), make_task(3)
     loop = asyncio.get_running_loop()
@@ -61,7 +61,7 @@
     async def async_connect_then_pause(*arguments):
         connection = await connect(*arguments)
         pauses.append(arguments)
-        if has_moved_on:
+        if has_new_number:
             task._host.configuration_number = 4
         else:
             time.sleep(1.1)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(("ignores", "expected"), [(True, 3), (False, 5)])
-async def test_only_an_engine_that_ignores_fencing_takes_an_old_order(
+async def test_only_an_engine_that_ignores_fencing_accepts_an_old_order(
     make_engine, ignores, expected
 ):
     engine = await make_engine(ignores)
--- a/libraries/daemon/tests/test_owned_calls.py
+++ b/libraries/daemon/tests/test_owned_calls.py
@@ -1,4 +1,4 @@
-"""Tests of the owner's sending of calls, in one process."""
+"""Tests of calls that their owner sends, in one process."""
 
 import asyncio
 import time
@@ -20,7 +20,7 @@
 from tarragonward_requests import mint_key_prefix, parse_key
 from tarragonward_standins import ServiceStandIn
 
-ME = HostIdentity(Address("127.0.0.1", 1), 1)
+OWN_IDENTITY = HostIdentity(Address("127.0.0.1", 1), 1)
 SECRET = b"s" * 32
 
 
@@ -46,7 +46,7 @@
 
 
 class Owner:
-    """An OwnedCalls with a service stand-in behind it."""
+    """An OwnedCalls that sends to a simulated service."""
 
     def __init__(self, service, addresses):
         self.service = service
@@ -60,7 +60,7 @@
             leave_request=lambda: None,
         )
         self.calls = OwnedCalls(host, self.configuration.get_service_targets)
-        prefix = mint_key_prefix(ME, self.calls.choose_mint_time(), SECRET)
+        prefix = mint_key_prefix(OWN_IDENTITY, self.calls.choose_mint_time(), SECRET)
         self.key = parse_key(f"{prefix}.1", SECRET)
 
     async def async_run(self, limit=5.0, body=b"combine", operation="approve"):
@@ -87,10 +87,10 @@
 
 
 async def test_a_pause_between_connecting_and_writing_sends_nothing(owner, monkeypatch):
-    """The owner is stopped right after its connection was made, past the limit.
+    """The owner is paused between connecting and writing, until after the deadline.
 
-    Woken, the next thing that it would do is write. It looks at the time first, with
-    no await between, so the service never sees the call, and "not run" is true.
+    It must check the time again, without an await before the write. Otherwise the
+    service could run a call that was answered "not run".
     """
     loop = asyncio.get_running_loop()
     connect, pauses = loop.create_connection, []
@@ -111,42 +111,42 @@
     assert owner.runs == 0
 
 
-async def test_a_target_that_is_down_is_passed_over_for_the_next(service):
+async def test_the_next_target_gets_the_call_if_one_is_down(service):
     owner = Owner(service, [Address("127.0.0.1", 1), service.address])
     assert (await owner.async_run()).code is ResultCode.OK
     assert owner.runs == 1
 
 
-async def test_no_target_in_reach_is_not_run_for_good(service):
+async def test_a_call_without_a_reachable_target_never_runs(service):
     owner = Owner(service, [Address("127.0.0.1", 1)])
     reply = await owner.async_run()
     assert reply.code is ResultCode.CALL_NOT_RUN and reply.retry_after_seconds
     assert (await owner.async_run()).code is ResultCode.CALL_NOT_RUN
 
 
-async def test_a_declared_refusal_is_not_run_for_good(owner):
+async def test_a_call_refused_with_a_not_run_status_never_runs(owner):
     reply = await owner.async_run(body=b"refuse")
     assert reply.code is ResultCode.TARGET_REFUSED
     assert (await owner.async_run(body=b"refuse")).code is ResultCode.TARGET_REFUSED
     assert owner.runs == 0
 
 
-async def test_an_operation_withdrawn_meanwhile_is_not_run_for_good(owner):
+async def test_a_call_of_a_removed_operation_never_runs(owner):
     reply = await owner.async_run(operation="withdrawn")
     assert reply.code is ResultCode.UNKNOWN_SERVICE
     assert (await owner.async_run()).code is ResultCode.KEY_REUSED
 
 
-async def test_a_fault_in_the_sending_ends_the_call(owner, monkeypatch):
+async def test_an_unexpected_error_while_sending_ends_the_call(owner, monkeypatch):
     def fail(service):
-        raise RuntimeError("a fault")
+        raise RuntimeError("unexpected")
 
     monkeypatch.setattr(owner.calls, "_get_targets", fail)
     assert (await owner.async_run()).code is ResultCode.CALL_NOT_RUN
     assert owner.calls.ledger.in_flight == 0
 
 
-async def test_many_copies_at_once_run_once_with_the_same_bytes(owner):
+async def test_concurrent_copies_run_once_and_get_the_same_answer(owner):
     owner.service.delay_seconds = 0.1
     replies = await asyncio.gather(*(owner.async_run() for _ in range(50)))
     assert {reply.code for reply in replies} == {ResultCode.OK}
@@ -155,10 +155,10 @@
 
 
 @pytest.mark.parametrize("code", [ResultCode.DRAINING, ResultCode.NOT_READY])
-def test_a_host_that_has_not_read_a_key_does_not_say_not_run_of_it(code):
-    """A draining or starting host refuses the clerk's repeat of a booking that ran.
+def test_a_refusal_without_a_key_lookup_is_not_answered_not_run(code):
+    """A draining or starting host refuses the repeat of a booking that has run.
 
-    Told "not run", the clerk would book again under a new key.
+    If it answered "not run", the caller would book again with a new key.
     """
     refusal = RequestRefusedError(code)
     assert translate_refusal(refusal, has_key=False).code is code
