--- a/libraries/bench/tarragonward_bench/experiment/policies.py
+++ b/libraries/bench/tarragonward_bench/experiment/policies.py
@@ -151,14 +151,14 @@
         self, need: PromptRequirements, tried: Collection[str], now: float
     ) -> Sending | None:
         known = self.book.get_usage(now)
-        reads = self._model.compute_read_seconds(need.prompt_tokens)
+        reads = self._model.compute_prefill_seconds(need.prompt_tokens)
         best = None
         for name in self._engines:
             if name in tried:
                 continue
             seconds, work = reads, known.get(name)
             if work is not None:
-                seconds += work.prefill_seconds + self._model.compute_write_seconds(
+                seconds += work.prefill_seconds + self._model.compute_decode_seconds(
                     work.decoding_requests, work.context_tokens
                 )
             drawn = (seconds, self._rng.random(), name)
--- a/libraries/bench/tests/test_experiment.py
+++ b/libraries/bench/tests/test_experiment.py
@@ -85,7 +85,7 @@
     site, writer = alone(site, 1_000, 20)
     reader = replace(writer, number=1, at=0.2, prompt_tokens=90_000)
     outcomes = play_alone(monkeypatch, site, [writer, reader])
-    assert outcomes[0].worst_pause > site.build_engine_model().compute_read_seconds(
+    assert outcomes[0].worst_pause > site.build_engine_model().compute_prefill_seconds(
         90_000
     )
 
--- a/libraries/gateway/tests/conftest.py
+++ b/libraries/gateway/tests/conftest.py
@@ -36,10 +36,10 @@
     stride_steps=46,
     chunk_tokens=2_048,
     step_seconds=0.000925,
-    writer_seconds=0.00001,
-    context_seconds=2.54e-9,
-    read_tokens_per_second=256_000.0,
-    pair_seconds=9.17e-11,
+    seconds_per_decoding_request=0.00001,
+    seconds_per_context_token=2.54e-9,
+    prefill_tokens_per_second=256_000.0,
+    seconds_per_token_pair=9.17e-11,
 )
 STREAM = {
     "kind": RequestKind.STREAM,
--- a/libraries/placement/tarragonward_placement/outlook.py
+++ b/libraries/placement/tarragonward_placement/outlook.py
@@ -86,4 +86,4 @@
 def _compute_slot_hold_seconds(model: EngineModel) -> float:
     """Return how long an answer of usual length occupies a slot."""
     passes = max(model.usual_answer_tokens / max(model.stride_steps, 1), 1.0)
-    return passes * model.compute_write_seconds(model.slots // 2, 0)
+    return passes * model.compute_decode_seconds(model.slots // 2, 0)
--- a/libraries/placement/tarragonward_placement/readings.py
+++ b/libraries/placement/tarragonward_placement/readings.py
@@ -120,7 +120,7 @@
     chosen = _sample(positions, need, random)
     if not any(need.can_lead(candidate.name) for candidate in chosen):
         return None
-    single_engine_seconds = model.compute_read_seconds(need.prompt_tokens)
+    single_engine_seconds = model.compute_prefill_seconds(need.prompt_tokens)
     best = None
     needs_reservations = (
         need.memory_tokens > model.memory_tokens * c.USABLE_MEMORY_SHARE
@@ -181,7 +181,7 @@
     part *= usage.slowdown
     prefill_seconds = usage.prefill_seconds * usage.slowdown
     step_seconds = (
-        model.compute_write_seconds(usage.decoding_requests, usage.context_tokens)
+        model.compute_decode_seconds(usage.decoding_requests, usage.context_tokens)
         * usage.slowdown
     )
     pause = step_seconds + prefill_seconds + part
@@ -357,7 +357,7 @@
     leader: _PrefillCandidate, need: PromptRequirements, model: EngineModel, count: int
 ) -> float:
     context = leader.usage.context_tokens + need.prompt_tokens // count
-    return model.compute_write_seconds(leader.usage.decoding_requests + 1, context)
+    return model.compute_decode_seconds(leader.usage.decoding_requests + 1, context)
 
 
 def _compute_room(candidate: _PrefillCandidate, model: EngineModel) -> int:
@@ -376,7 +376,7 @@
 ) -> float:
     """Return the cost of this engine holding the KV cache and decoding the answer."""
     usage = candidate.usage
-    pause = model.compute_write_seconds(
+    pause = model.compute_decode_seconds(
         usage.decoding_requests + 1, usage.context_tokens
     )
     pause = (pause + usage.prefill_seconds) * usage.slowdown
--- a/libraries/placement/tests/test_outlook.py
+++ b/libraries/placement/tests/test_outlook.py
@@ -14,10 +14,10 @@
     stride_steps=46,
     chunk_tokens=2_048,
     step_seconds=0.000925,
-    writer_seconds=0.000004,
-    context_seconds=0.0,
-    read_tokens_per_second=256_000,
-    pair_seconds=0.0000001,
+    seconds_per_decoding_request=0.000004,
+    seconds_per_context_token=0.0,
+    prefill_tokens_per_second=256_000,
+    seconds_per_token_pair=0.0000001,
     usual_answer_tokens=46 * 30,
 )
 ENGINES = [f"e{number}" for number in range(10)]
--- a/libraries/placement/tests/test_readings.py
+++ b/libraries/placement/tests/test_readings.py
@@ -24,10 +24,10 @@
     stride_steps=46,
     chunk_tokens=2_048,
     step_seconds=0.000925,
-    writer_seconds=0.00001,
-    context_seconds=2.54e-9,
-    read_tokens_per_second=256_000.0,
-    pair_seconds=9.17e-11,
+    seconds_per_decoding_request=0.00001,
+    seconds_per_context_token=2.54e-9,
+    prefill_tokens_per_second=256_000.0,
+    seconds_per_token_pair=9.17e-11,
 )
 ENGINES = [f"e{number:02}" for number in range(12)]
 SHORT = PromptRequirements(5_000, 500, 0.3, 0.2)
@@ -88,7 +88,7 @@
 def test_parallel_prefill_meets_the_aim() -> None:
     """A prompt that takes too long on one engine is prefilled by several."""
     longest = PromptRequirements(400_000, 800, 3.0, 0.8)
-    assert MODEL.compute_read_seconds(400_000) > 3.0
+    assert MODEL.compute_prefill_seconds(400_000) > 3.0
     assert plan(longest).first_event_seconds < 3.0
 
 
@@ -282,8 +282,8 @@
     huge = PromptRequirements(620_000, 800, 3.0, 1.0)
     slow = replace(
         MODEL,
-        read_tokens_per_second=177_000,
-        pair_seconds=1.84e-10,
+        prefill_tokens_per_second=177_000,
+        seconds_per_token_pair=1.84e-10,
         usual_answer_tokens=1_400,
     )
     chosen = plan_prefill(huge, engines, known, slow, Random(1))
--- a/libraries/placement/tests/test_widening.py
+++ b/libraries/placement/tests/test_widening.py
@@ -18,10 +18,10 @@
     stride_steps=38,
     chunk_tokens=2_048,
     step_seconds=0.00131,
-    writer_seconds=9e-7,
-    context_seconds=2.13e-9,
-    read_tokens_per_second=154_000.0,
-    pair_seconds=1.62e-10,
+    seconds_per_decoding_request=9e-7,
+    seconds_per_context_token=2.13e-9,
+    prefill_tokens_per_second=154_000.0,
+    seconds_per_token_pair=1.62e-10,
 )
 LONG = PromptRequirements(260_000, 700, 4.0, 1.0)
 SHORT = PromptRequirements(5_000, 500, 0.3, 0.25)
--- a/libraries/routes/tarragonward_routes/__init__.py
+++ b/libraries/routes/tarragonward_routes/__init__.py
@@ -1,4 +1,4 @@
-"""The published routing table: routes, services, client accounts and limits."""
+"""The routing table: routes, services, client accounts and limits."""
 
 from .engine import EngineModel
 from .table import (
--- a/libraries/routes/tarragonward_routes/engine.py
+++ b/libraries/routes/tarragonward_routes/engine.py
@@ -1,4 +1,4 @@
-"""Hold the published constants of a model engine's passes."""
+"""Define the published performance model of an engine."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True)
 class EngineModel:
-    """How an engine works through its requests; times in seconds, sizes in tokens.
+    """The timing of an engine's passes; times in seconds, sizes in tokens.
 
-    A pass makes one step, or stride_steps where a request is writing. A step takes
-    step_seconds, for each writer writer_seconds and context_seconds for each token of
-    its context, and reads up to chunk_tokens of waiting prompts at
-    read_tokens_per_second, with pair_seconds for each pair of a token and an earlier
-    one.
+    A pass has one step, or stride_steps while any request is decoding. A step takes
+    step_seconds, plus seconds_per_decoding_request for each decoding request, plus
+    seconds_per_context_token for each token of their contexts. It also prefills up to
+    chunk_tokens of waiting prompts at prefill_tokens_per_second, plus
+    seconds_per_token_pair for each pair of a prompt token and an earlier one.
     """
 
     slots: int
@@ -23,27 +23,30 @@
     stride_steps: int
     chunk_tokens: int
     step_seconds: float
-    writer_seconds: float
-    context_seconds: float
-    read_tokens_per_second: float
-    pair_seconds: float
+    seconds_per_decoding_request: float
+    seconds_per_context_token: float
+    prefill_tokens_per_second: float
+    seconds_per_token_pair: float
     hop_seconds: float = 0.0
     report_lag_seconds: float = 0.0
     usual_prompt_tokens: int = 0
     usual_answer_tokens: int = 0
 
-    def compute_read_seconds(self, tokens: int, parts: int = 1) -> float:
-        """Return the time that one of so many engines reads its part of a prompt."""
+    def compute_prefill_seconds(self, tokens: int, parts: int = 1) -> float:
+        """Return the prefill time of a prompt that is split over engines in parts."""
         pairs = tokens * tokens / 2
         return (
-            tokens / self.read_tokens_per_second + pairs * self.pair_seconds
+            tokens / self.prefill_tokens_per_second
+            + pairs * self.seconds_per_token_pair
         ) / parts
 
-    def compute_write_seconds(self, writers: int, context_tokens: int) -> float:
-        """Return the time of a pass's steps with so many writers, reading apart."""
+    def compute_decode_seconds(
+        self, decoding_requests: int, context_tokens: int
+    ) -> float:
+        """Return the time of a pass that decodes requests, without prefill."""
         step = (
             self.step_seconds
-            + writers * self.writer_seconds
-            + context_tokens * self.context_seconds
+            + decoding_requests * self.seconds_per_decoding_request
+            + context_tokens * self.seconds_per_context_token
         )
-        return step * (self.stride_steps if writers else 1)
+        return step * (self.stride_steps if decoding_requests else 1)
--- a/libraries/routes/tarragonward_routes/table.py
+++ b/libraries/routes/tarragonward_routes/table.py
@@ -1,4 +1,4 @@
-"""Choose the route, the service and the client account of a request."""
+"""Define the routing table and look up routes and client accounts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RequestKind(Enum):
-    """What may be done twice."""
+    """Whether a request may be run more than once, or is a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Share:
-    """A service's part of a route's requests."""
+    """The weight of a service among those of a route."""
 
     service: str
     weight: float
@@ -39,10 +39,11 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where requests of a host and path go, and how; times in seconds.
+    """The route of a host and path prefix; times in seconds.
 
-    attempts is the most targets that one request may be sent to. A priority of 0 is
-    the most urgent.
+    attempts is the maximum number of targets that a request is sent to. Priority 0 is
+    the most urgent. aim_seconds is the latency goal for the first event of an answer,
+    pause_aim_seconds that for the pauses between its events, 0 for none.
     """
 
     name: str
@@ -60,22 +61,22 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Return whether a request that may have run may be sent once more."""
+        """Return whether a request that may have been run may be sent again."""
         return self.kind is RequestKind.IDEMPOTENT or self.is_resumable
 
     def choose_service(self, draw: float) -> str:
-        """Return the service for a number drawn evenly from 0 up to 1."""
-        rest = draw * sum(share.weight for share in self.shares)
+        """Return the service for a random number, uniform in [0, 1)."""
+        remaining = draw * sum(share.weight for share in self.shares)
         for share in self.shares:
-            rest -= share.weight
-            if rest < 0:
+            remaining -= share.weight
+            if remaining < 0:
                 return share.service
         return self.shares[-1].service
 
 
 @dataclass(frozen=True)
 class Service:
-    """A group of like targets; max_connections bounds each target's, from all hosts."""
+    """A group of equivalent targets; max_connections is per target, over all hosts."""
 
     name: str
     max_connections: int
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True)
 class Account:
-    """A client account; its priority, where it has one, goes before the route's."""
+    """A client account; its priority, if set, overrides that of the route."""
 
     name: str
     priority: int | None = None
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What a caller may send and how long it may take; bytes and seconds."""
+    """Limits for callers' requests; sizes in bytes, times in seconds."""
 
     head_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -103,7 +104,7 @@
 
 @dataclass(frozen=True)
 class RoutingTable:
-    """One published version; a lookup costs the same however many routes there are."""
+    """A published version; lookup cost does not depend on the number of routes."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -119,7 +120,7 @@
         object.__setattr__(self, "_by_host", _index_routes(self.routes))
 
     def select_route(self, host: str, path: str) -> Route | None:
-        """Return the route of the host with the longest prefix that begins path."""
+        """Return the host's route with the longest prefix that matches the path."""
         routes = self._by_host.get(_normalize_host(host))
         end = len(path) if routes else 0
         while end > 0:
@@ -131,7 +132,7 @@
         return None
 
     def find_account(self, key: str) -> Account | None:
-        """Return the client account that holds the key."""
+        """Return the client account of an API key."""
         return self.accounts_by_key.get(key)
 
 
--- a/libraries/routes/tests/test_table.py
+++ b/libraries/routes/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, splits, keys."""
+"""Tests for the routing table and the engine's performance model."""
 
 import pytest
 
@@ -39,12 +39,12 @@
         ("b.example", "", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_is_chosen(table, host, path, prefix):
+def test_route_with_the_longest_prefix_is_selected(table, host, path, prefix):
     route = table.select_route(host, path)
     assert (route and route.prefix) == prefix
 
 
-def test_a_key_finds_its_account_or_none(table):
+def test_account_lookup_by_key(table):
     assert table.find_account("key").name == "account"
     assert table.find_account("") is None
 
@@ -52,19 +52,19 @@
 @pytest.mark.parametrize(
     ("draw", "service"), [(0.0, "x"), (0.89, "x"), (0.9, "y"), (0.999, "y")]
 )
-def test_a_split_follows_its_weights(draw, service):
+def test_services_are_chosen_by_weight(draw, service):
     route = build_route("/", shares=(Share("x", 90), Share("y", 10)))
     assert route.choose_service(draw) == service
 
 
-def test_a_service_without_weight_gets_nothing():
+def test_a_service_with_weight_zero_is_never_chosen():
     route = build_route("/", shares=(Share("x", 0), Share("y", 10)))
     assert route.choose_service(0.0) == "y"
 
 
-def test_a_prompt_is_read_in_the_published_time():
+def test_prefill_and_decode_times_follow_the_published_constants():
     model = EngineModel(8, 450_000, 46, 2_048, 1e-3, 0.0, 0.0, 256_000, 1e-10)
-    assert model.compute_read_seconds(256_000) == pytest.approx(1.0 + 3.2768)
-    assert model.compute_read_seconds(256_000, 4) == pytest.approx(4.2768 / 4)
-    assert model.compute_write_seconds(0, 0) == pytest.approx(1e-3)
-    assert model.compute_write_seconds(2, 0) == pytest.approx(46e-3)
+    assert model.compute_prefill_seconds(256_000) == pytest.approx(1.0 + 3.2768)
+    assert model.compute_prefill_seconds(256_000, 4) == pytest.approx(4.2768 / 4)
+    assert model.compute_decode_seconds(0, 0) == pytest.approx(1e-3)
+    assert model.compute_decode_seconds(2, 0) == pytest.approx(46e-3)
