--- a/libraries/bench/tarragonward_bench/faults.py
+++ b/libraries/bench/tarragonward_bench/faults.py
@@ -20,7 +20,7 @@
 from tarragonward_standins.fault_proxy import FaultProxy
 from tarragonward_standins.observe import (
     Balancer,
-    async_put_proxy_before,
+    async_insert_proxy,
     async_wait_engines,
     make_prompt,
 )
@@ -57,7 +57,7 @@
     def cut(self, is_cut: bool) -> None:
         far = [proxy for name, proxy in self.site.proxies.items() if f"-{FAR}-" in name]
         for proxy in self.proxies + far:
-            proxy.faults.cut_to_target = proxy.faults.cut_to_caller = is_cut
+            proxy.faults.blackhole_to_target = proxy.faults.blackhole_to_caller = is_cut
 
 
 Action = Callable[[_Place], Awaitable[None]]
@@ -163,7 +163,7 @@
     place.balancer.failure_domains = frozenset({NEAR})
     far = [name for name in place.site.engines if FAR in name]
     for base, engine in enumerate(far):
-        proxy = await async_put_proxy_before(place.site, engine, base)
+        proxy = await async_insert_proxy(place.site, engine, base)
         stack.push_async_callback(proxy.async_unload)
         place.proxies.append(proxy)
 
--- a/libraries/bench/tarragonward_bench/platform_troubles.py
+++ b/libraries/bench/tarragonward_bench/platform_troubles.py
@@ -223,13 +223,13 @@
 
     async def _async_lose_packets(self) -> None:
         links = self._list_links(self._list_runners())
-        links += [host.door.link for host in self._site.hosts]
+        links += [host.door.proxy for host in self._site.hosts]
         for link in links:
             link.faults.delay_seconds = LINK_DELAY_SECONDS
-            link.faults.lost_share = LOST_SHARE
+            link.faults.packet_loss_rate = LOST_SHARE
         await asyncio.sleep(TROUBLE_SECONDS)
         for link in links:
-            link.faults.delay_seconds = link.faults.lost_share = 0.0
+            link.faults.delay_seconds = link.faults.packet_loss_rate = 0.0
 
     async def _async_cut_domain(self) -> None:
         zone = self._random.choice(self._site.plan.zones)
@@ -244,10 +244,10 @@
 
     async def _async_silence_target(self) -> None:
         for link in self._list_links([self._random.choice(self._list_runners())]):
-            link.silence_open()
+            link.blackhole_open_connections()
 
     async def _async_silence_store(self) -> None:
-        self._random.choice(self._site.hosts).door.link.silence_open()
+        self._random.choice(self._site.hosts).door.proxy.blackhole_open_connections()
 
     async def _async_load_weights(self) -> None:
         self._random.choice(self._site.models).change_weights()
@@ -267,7 +267,7 @@
 
     @staticmethod
     def _list_links(runners: Iterable[PlatformRunner]) -> list[FaultProxy]:
-        return [runner.link for runner in runners if runner.link is not None]
+        return [runner.proxy for runner in runners if runner.proxy is not None]
 
     def _list_runners(self) -> list[PlatformRunner]:
         return [*self._site.models, *self._site.plain]
--- a/libraries/daemon/tests/test_configuration_task.py
+++ b/libraries/daemon/tests/test_configuration_task.py
@@ -31,13 +31,13 @@
 async def make_host():
     started = []
 
-    async def async_make(replicas=1, document=DOCUMENT, bytes_a_second=math.inf):
+    async def async_make(replicas=1, document=DOCUMENT, bytes_per_second=math.inf):
         platforms, links = [], []
         for _ in range(replicas):
             platform = PlatformStandIn(Address("127.0.0.1", 0), document, [])
             await platform.async_setup()
             link = FaultProxy(Address("127.0.0.1", 0), platform.address)
-            link.faults.bytes_a_second = bytes_a_second
+            link.faults.bytes_per_second = bytes_per_second
             await link.async_setup()
             platforms.append(platform)
             links.append(link)
@@ -103,7 +103,7 @@
     }
     document = {**DOCUMENT, "client_accounts": accounts}
     size = len(json.dumps(document))
-    _, host, _ = await make_host(document=document, bytes_a_second=size / 3)
+    _, host, _ = await make_host(document=document, bytes_per_second=size / 3)
     await async_wait_until_active(host, 0)
 
 
--- a/libraries/gateway/tests/conftest.py
+++ b/libraries/gateway/tests/conftest.py
@@ -130,7 +130,7 @@
     @property
     def runs(self):
         """Return how many requests reached the targets."""
-        return sum(len(target.seen) for target in self.targets)
+        return sum(len(target.requests) for target in self.targets)
 
     async def async_ask(self, method="GET", path="/app/x", **options):
         """Send one request and return its answer."""
--- a/libraries/gateway/tests/test_app.py
+++ b/libraries/gateway/tests/test_app.py
@@ -159,7 +159,7 @@
     caller, target = await host.async_start(script)
     idle = await host.async_open()
     caller.send()
-    await host.async_until(lambda: target.seen)
+    await host.async_until(lambda: target.requests)
     host.gateway.request_stop()
     async with asyncio.timeout(WAIT_SECONDS):
         assert await idle.reader.read() == b""
@@ -181,7 +181,7 @@
     host = make_host(0.6)
     caller, target = await host.async_start(script)
     caller.send()
-    await host.async_until(lambda: target.seen)
+    await host.async_until(lambda: target.requests)
     host.gateway.request_stop()
     async with asyncio.timeout(WAIT_SECONDS):
         await host.running
--- a/libraries/gateway/tests/test_crashes.py
+++ b/libraries/gateway/tests/test_crashes.py
@@ -20,7 +20,7 @@
         if not request.body.startswith(MARK):
             await answer(request, writer)
             return
-        [target] = [t for t in targets if request in t.seen]
+        [target] = [t for t in targets if request in t.requests]
         await target.async_unload()
         writer.transport.abort()
 
--- a/libraries/gateway/tests/test_failures.py
+++ b/libraries/gateway/tests/test_failures.py
@@ -170,8 +170,8 @@
     for number in range(40):
         caller.send("POST", request_id=f"n{number}")
         answer = await caller.async_read_answer()
-        assert answer.is_whole
-        seen = [request.get("x-request-id") for request in site.targets[0].seen]
+        assert answer.is_complete
+        seen = [request.get("x-request-id") for request in site.targets[0].requests]
         sent = seen.count([f"n{number}"])
         if answer.status == 503:
             assert float(answer.get("retry-after")[0]) > 0
@@ -181,7 +181,7 @@
         if answer.status == 200:
             assert sent == 1
             assert answer.get("x-request-id") == [f"n{number}"]
-    seen = [request.get("x-request-id") for request in site.targets[0].seen]
+    seen = [request.get("x-request-id") for request in site.targets[0].requests]
     assert not [request_id for request_id in refused if request_id in seen]
 
 
@@ -245,9 +245,9 @@
         is_resumable=True,
     )
     answer = await site.async_ask("POST")
-    assert answer.is_whole
+    assert answer.is_complete
     assert answer.body == b"".join(build_event(number) for number in (1, 2, 3, 4))
-    (seen,) = site.targets[1].seen
+    (seen,) = site.targets[1].requests
     assert seen.get("last-event-id") == ["2"]
 
 
@@ -275,7 +275,7 @@
         is_resumable=True,
     )
     answer = await site.async_ask("POST")
-    assert not answer.is_whole
+    assert not answer.is_complete
     assert answer.body == build_event(1) + build_event(2)
 
 
@@ -295,7 +295,7 @@
         script, stream_events([3]), kind=RequestKind.STREAM, is_resumable=True
     )
     answer = await site.async_ask("POST")
-    assert answer.is_whole
+    assert answer.is_complete
     assert answer.body == b"".join(build_event(number) for number in (1, 2, 3))
 
 
@@ -306,7 +306,7 @@
         kind=RequestKind.STREAM,
     )
     answer = await site.async_ask("POST")
-    assert not answer.is_whole
+    assert not answer.is_complete
     assert site.runs == 1
 
 
@@ -315,8 +315,8 @@
         stream_events([]), kind=RequestKind.STREAM, is_resumable=True
     )
     answer = await site.async_ask("POST", lines=["Last-Event-Id: 4"])
-    assert (answer.status, answer.is_whole, answer.body) == (200, True, b"")
-    assert site.targets[0].seen[0].get("last-event-id") == ["4"]
+    assert (answer.status, answer.is_complete, answer.body) == (200, True, b"")
+    assert site.targets[0].requests[0].get("last-event-id") == ["4"]
 
 
 async def test_event_is_forwarded_before_next_one_exists(make_site):
@@ -400,7 +400,7 @@
     )
     runs = {request_id: 0 for request_id in ids}
     for target in site.targets:
-        for seen in target.seen:
+        for seen in target.requests:
             if target.script is not scripts[len(INVALID_ANSWERS)]:
                 runs[seen.get("x-request-id")[0]] += 1
     for request_id, answer in zip(ids, answers, strict=True):
--- a/libraries/gateway/tests/test_forwarding.py
+++ b/libraries/gateway/tests/test_forwarding.py
@@ -36,7 +36,7 @@
         "PATCH", UNNORMALIZED_PATH, lines=lines, body=b"\0\xff\r\n"
     )
     assert (answer.status, answer.body) == (200, b"whole")
-    (seen,) = site.targets[0].seen
+    (seen,) = site.targets[0].requests
     assert seen.first_line == f"PATCH {UNNORMALIZED_PATH} HTTP/1.1"
     assert seen.body == b"\0\xff\r\n"
     assert [pair for pair in seen.headers if pair[0].lower() == "x-odd-case"] == [
@@ -57,14 +57,14 @@
     body = build_chunk(b"ab") + build_chunk(b"cde") + b"0\r\n\r\n"
     answer = await site.async_ask("POST", lines=[CHUNKED], body=body)
     assert answer.status == 200
-    assert site.targets[0].seen[0].body == b"abcde"
+    assert site.targets[0].requests[0].body == b"abcde"
 
 
 async def test_empty_body_keeps_its_length(make_site):
     """Some servers refuse a POST without a content length (411)."""
     site = await make_site(answer_with())
     await site.async_ask("POST", lines=["Content-Length: 0"])
-    assert site.targets[0].seen[0].get("content-length") == ["0"]
+    assert site.targets[0].requests[0].get("content-length") == ["0"]
 
 
 @pytest.mark.parametrize("limit", ["7", "7" * 5_000, "\xb2", "-3", "soon"])
@@ -79,7 +79,7 @@
     site = await make_site(answer_with())
     answer = await site.async_ask(lines=[f"X-Tokens: {counts}"])
     assert answer.status == 200
-    assert site.targets[0].seen[0].get("x-tokens") == [counts]
+    assert site.targets[0].requests[0].get("x-tokens") == [counts]
 
 
 @pytest.mark.parametrize("load", ["7" * 5_000 + ",1,1", "\xb2,\xb2,\xb2", "1", ""])
@@ -92,7 +92,7 @@
     site = await make_site(answer_with(), timeout_seconds=2.0)
     await site.async_ask(lines=["X-Time-Limit-Ms: 900"])
     await site.async_ask(lines=["X-Time-Limit-Ms: 9000"])
-    first, second = site.targets[0].seen
+    first, second = site.targets[0].requests
     assert 0 < int(first.get("x-time-limit-ms")[0]) <= 900
     assert 0 < int(second.get("x-time-limit-ms")[0]) <= 2000
 
@@ -174,7 +174,7 @@
     assert (await caller.async_read_answer("HEAD")).status == 100
     caller.writer.write(b"ok")
     assert (await caller.async_read_answer()).status == 200
-    assert not site.targets[0].seen[0].get("expect")
+    assert not site.targets[0].requests[0].get("expect")
 
 
 async def test_pipelined_requests_are_answered_in_order(make_site):
@@ -260,7 +260,7 @@
         caller.send(lines=lines, request_id=f"u{number}")
         answer = await caller.async_read_answer()
         assert (answer.status, answer.get("x-request-id")) == (200, [f"u{number}"])
-        assert not site.targets[0].seen[number].get("upgrade")
+        assert not site.targets[0].requests[number].get("upgrade")
 
 
 @pytest.mark.parametrize(
@@ -279,4 +279,4 @@
     site = await make_site(answer_with())
     assert (await site.async_ask(method, path)).status == status
     if status == 200:
-        assert site.targets[0].seen[0].first_line == f"{method} {path} HTTP/1.1"
+        assert site.targets[0].requests[0].first_line == f"{method} {path} HTTP/1.1"
--- a/libraries/gateway/tests/test_headers.py
+++ b/libraries/gateway/tests/test_headers.py
@@ -15,7 +15,7 @@
     lines = ["Connection: Host, Content-Length", "Content-Length: 4"]
     answer = await site.async_ask("POST", lines=lines, body=b"abcd")
     assert answer.status == 200
-    (seen,) = site.targets[0].seen
+    (seen,) = site.targets[0].requests
     assert seen.get("host") == ["app.example"]
     assert seen.body == b"abcd"
 
--- a/libraries/gateway/tests/test_limits.py
+++ b/libraries/gateway/tests/test_limits.py
@@ -9,8 +9,8 @@
     site = await make_site(limited, answer_with())
     for _ in range(40):
         assert (await site.async_ask()).status == 200
-    assert len(site.targets[0].seen) <= 11
-    assert len(site.targets[1].seen) >= 29
+    assert len(site.targets[0].requests) <= 11
+    assert len(site.targets[1].requests) >= 29
 
 
 async def test_requests_beyond_all_limits_are_refused_with_retry_after(
@@ -51,7 +51,9 @@
     site.chooser.record_limit(limited, "50")
     assert (await site.async_ask_prompt("200000,46")).status == 200
     helpers = [
-        seen.get("x-helper-engines") for target in site.targets for seen in target.seen
+        seen.get("x-helper-engines")
+        for target in site.targets
+        for seen in target.requests
     ]
     assert any(helpers)
     assert str(limited.address) not in str(helpers)
--- a/libraries/gateway/tests/test_no_end.py
+++ b/libraries/gateway/tests/test_no_end.py
@@ -131,7 +131,7 @@
     assert (await site.async_ask()).status == 200
     assert site.chooser.target_health.ejected_count == 1
     assert (await site.async_ask()).status == 200
-    assert len(site.targets[1].seen) == 2
+    assert len(site.targets[1].requests) == 2
 
 
 async def test_prompt_without_plan_is_refused(make_site):
@@ -157,7 +157,7 @@
     await site.async_ask()
     assert site.chooser.target_health.ejected_count == 2
     assert (await site.async_ask()).status == 200
-    assert len(site.targets[0].seen) == len(site.targets[1].seen) == 1
+    assert len(site.targets[0].requests) == len(site.targets[1].requests) == 1
 
 
 async def test_target_with_faulty_helper_is_not_ejected(make_site):
--- a/libraries/gateway/tests/test_probes.py
+++ b/libraries/gateway/tests/test_probes.py
@@ -163,7 +163,7 @@
     site.targets[0].script = refuse_with("503 Service Unavailable", names)
     help_leader(site, leader, [helper])
     assert (await site.async_ask()).status == 200
-    assert [len(target.seen) for target in site.targets] == [2, 0, 1]
+    assert [len(target.requests) for target in site.targets] == [2, 0, 1]
     ready = site.state.registry.get_ready("s")
     assert list(site.chooser.target_health.select(ready, read_clock())) == [
         leader,
@@ -192,7 +192,7 @@
     site.targets[0].script = async_answer
     help_leader(site, leader, helpers)
     assert (await site.async_ask()).status == 200
-    assert [len(target.seen) for target in site.targets] == [3, 0, 0]
+    assert [len(target.requests) for target in site.targets] == [3, 0, 0]
 
 
 def help_leader(site, leader, helpers):
@@ -223,7 +223,7 @@
     site = await make_site(script, answer_with())
     for _ in range(6):
         assert (await site.async_ask()).status == 200
-    assert [len(target.seen) for target in site.targets] == [2, 6]
+    assert [len(target.requests) for target in site.targets] == [2, 6]
 
 
 class Plan:
--- a/libraries/gateway/tests/test_prompts.py
+++ b/libraries/gateway/tests/test_prompts.py
@@ -21,15 +21,15 @@
     site = await make_engines(*[stream_events([1, 2])] * 3)
     answer = await site.async_ask_prompt("300000,500")
     assert answer.status == 200
-    (leader,) = [target for target in site.targets if target.seen]
-    (helpers,) = leader.seen[0].get("x-helper-engines")
+    (leader,) = [target for target in site.targets if target.requests]
+    (helpers,) = leader.requests[0].get("x-helper-engines")
     others = {str(target.address) for target in site.targets if target is not leader}
     assert set(helpers.split(",")) == others
     await site.async_ask_prompt("2000,500")
     assert not [
         request
         for target in site.targets
-        for request in target.seen[target is leader :]
+        for request in target.requests[target is leader :]
         if request.get("x-helper-engines")
     ]
 
@@ -59,7 +59,7 @@
     assert answer.status == 200
     assert str(unreachable[0].address) in asked[0].get("x-helper-engines")[0]
     assert str(unreachable[0].address) not in asked[1].get("x-helper-engines")[0]
-    assert not unreachable[0].seen
+    assert not unreachable[0].requests
 
 
 async def test_prompt_beyond_all_memory_is_refused_at_once(make_engines):
@@ -190,13 +190,13 @@
     monkeypatch.setattr(placement_const, "CONNECTION_FRESH_SECONDS", 0.0)
     site = await make_engines(*[stream_events([1])] * 3)
     await site.async_ask_prompt("300000,500")
-    (leader,) = [target for target in site.targets if target.seen]
+    (leader,) = [target for target in site.targets if target.requests]
     dark = next(target for target in site.targets if target is not leader)
     address = str(dark.address)
-    assert address in leader.seen[0].get("x-helper-engines")[0]
+    assert address in leader.requests[0].get("x-helper-engines")[0]
     await dark.async_unload()
     assert (await site.async_ask_prompt("300000,500")).status == 200
-    later = [request for target in site.targets for request in target.seen][1:]
+    later = [request for target in site.targets for request in target.requests][1:]
     assert later
     assert not any(
         address in names
@@ -210,7 +210,7 @@
     site = await make_engines(stream_events([1, 2]))
     lines = ["X-Tokens: 2000,500", "X-Priority: 0", "x-priority: 1"]
     assert (await site.async_ask("POST", lines=lines)).status == 200
-    (request,) = site.targets[0].seen
+    (request,) = site.targets[0].requests
     assert not request.get("x-priority")
 
 
@@ -232,8 +232,8 @@
 
     site = await make_engines(script, script)
     await site.async_ask_prompt("2000,500")
-    (slow,) = [target for target in site.targets if target.seen]
+    (slow,) = [target for target in site.targets if target.requests]
     known = site.chooser.usage.get_usage(site.chooser._clock())
     assert [work.slowdown > 3 for work in known.values()] == [True]
     await site.async_ask_prompt("2000,500")
-    assert len(slow.seen) == 1
+    assert len(slow.requests) == 1
--- a/libraries/gateway/tests/test_publications.py
+++ b/libraries/gateway/tests/test_publications.py
@@ -294,7 +294,7 @@
     holder, task = await start(FIRST, first)
     thin_port = find_free_port(socket.SOCK_STREAM)
     link = FaultProxy(Address(FIRST, thin_port), task._control.address)
-    link.faults.bytes_a_second = THINNEST_LINK_BYTES_PER_SECOND
+    link.faults.bytes_per_second = THINNEST_LINK_BYTES_PER_SECOND
     async with AsyncExitStack() as stack:
         await link.async_setup()
         stack.push_async_callback(link.async_unload)
--- a/libraries/gateway/tests/test_run.py
+++ b/libraries/gateway/tests/test_run.py
@@ -24,7 +24,7 @@
         stream_events([1, 2], build_event(3)[:9]), stream_events([3, 4]), **RESUMABLE
     )
     answer = await site.async_ask("POST")
-    assert answer.is_whole
+    assert answer.is_complete
     assert answer.body == join_events(1, 2, 3, 4)
 
 
@@ -34,7 +34,7 @@
         stream_events([1, 2], is_ended=False), stream_events([1, 2, 3]), **RESUMABLE
     )
     answer = await site.async_ask("POST")
-    assert answer.is_whole
+    assert answer.is_complete
     assert answer.body == join_events(1, 2, 3)
 
 
@@ -42,7 +42,7 @@
     """An engine ends its stream before the first event; the next one has the answer."""
     site = await make_site(stream_events([]), stream_events([1]), **RESUMABLE)
     answer = await site.async_ask("POST")
-    assert answer.is_whole
+    assert answer.is_complete
     assert answer.body == join_events(1)
 
 
@@ -57,7 +57,7 @@
     account = "X-Client-Account: town"
     caller.writer.write("\r\n".join([*lines, account, "", ""]).encode())
     assert (await caller.async_read_answer()).status == 200
-    assert site.targets[0].seen[0].get("x-client-account") == []
+    assert site.targets[0].requests[0].get("x-client-account") == []
 
 
 async def test_deadline_after_complete_answer_sends_no_second_one(
@@ -81,7 +81,7 @@
     caller = await RawCaller.async_open(site.server.address)
     caller.send("POST")
     answer = await caller.async_read_answer()
-    assert answer.is_whole
+    assert answer.is_complete
     assert answer.body == join_events(1)
     assert await caller.reader.read() == b""
     assert invariants.count == before
--- a/libraries/gateway/tests/test_sharing.py
+++ b/libraries/gateway/tests/test_sharing.py
@@ -61,7 +61,7 @@
     async with asyncio.timeout(10.0):
         while site.runs < 4:
             await asyncio.sleep(0.01)
-    assert [len(target.seen) for target in site.targets] == [2, 2]
+    assert [len(target.requests) for target in site.targets] == [2, 2]
     refused = await site.async_ask("POST")
     assert refused.status == 503
     held.set()
--- a/libraries/standins/tarragonward_standins/fault_proxy.py
+++ b/libraries/standins/tarragonward_standins/fault_proxy.py
@@ -15,13 +15,13 @@
 
 READ_BYTES = 64 * 1024
 # What one connection sends over a thin link before the others have their turn.
-THIN_LINK_TURN_BYTES = 8 * 1024
+BANDWIDTH_SLICE_BYTES = 8 * 1024
 # How far a thin link catches up with a turn that a busy machine brought late. Without
 # it each late timer makes the link thinner than it was told to be.
-THIN_LINK_LAG_SECONDS = 0.25
+MAX_BANDWIDTH_CATCH_UP_SECONDS = 0.25
 # A lost packet is sent again after this time, and what follows it waits.
-RESEND_SECONDS = 0.2
-FROZEN_STEP_SECONDS = 0.01
+RETRANSMIT_SECONDS = 0.2
+FROZEN_POLL_SECONDS = 0.01
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -38,20 +38,20 @@
     """
 
     delay_seconds: float = 0.0
-    lost_share: float = 0.0
-    cut_to_target: bool = False
-    cut_to_caller: bool = False
+    packet_loss_rate: float = 0.0
+    blackhole_to_target: bool = False
+    blackhole_to_caller: bool = False
     refuse: bool = False
     frozen: bool = False
-    drop_after_bytes: int | None = None
-    bytes_a_second: float = math.inf
+    close_after_bytes: int | None = None
+    bytes_per_second: float = math.inf
 
 
 @dataclass(eq=False)
-class _Link:
+class _Connection:
     """One connection; a silent one passes nothing, not even its target's end."""
 
-    is_silent: bool = False
+    is_blackholed: bool = False
 
 
 class FaultProxy:
@@ -60,9 +60,9 @@
     def __init__(self, address: Address, target: Address, seed: int = 1) -> None:
         self.faults = Faults()
         self._random = random.Random(seed)
-        self._links: set[_Link] = set()
-        self._is_free_at = 0.0
-        self._late_seconds = 0.0
+        self._connections: set[_Connection] = set()
+        self._link_free_at = 0.0
+        self._timer_lag_seconds = 0.0
         self._address = address
         self._target = target
         self._server: asyncio.Server | None = None
@@ -86,20 +86,20 @@
         """Stop, and end all connections."""
         if self._server is not None:
             self._server.close()
-        self.end_connections()
+        self.abort_connections()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def end_connections(self) -> None:
+    def abort_connections(self) -> None:
         """Reset the connections that are open."""
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def silence_open(self) -> None:
+    def blackhole_open_connections(self) -> None:
         """Let the connections that are open go silent for good; new ones work."""
-        for link in self._links:
-            link.is_silent = True
+        for connection in self._connections:
+            connection.is_blackholed = True
 
     async def _async_accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -127,33 +127,37 @@
             self._target.host, self._target.port
         )
         self._writers.add(target_writer)
-        link = _Link()
-        self._links.add(link)
+        connection = _Connection()
+        self._connections.add(connection)
         directions = [
-            asyncio.create_task(self._async_pass(link, reader, target_writer, True)),
-            asyncio.create_task(self._async_pass(link, target_reader, writer, False)),
+            asyncio.create_task(
+                self._async_relay(connection, reader, target_writer, True)
+            ),
+            asyncio.create_task(
+                self._async_relay(connection, target_reader, writer, False)
+            ),
         ]
         try:
             await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
             for direction in directions:
                 direction.cancel()
-            ends = await asyncio.gather(*directions, return_exceptions=True)
-            if any(isinstance(end, ConnectionResetError) for end in ends):
-                _make_reset(writer)
-                _make_reset(target_writer)
-            self._links.discard(link)
+            results = await asyncio.gather(*directions, return_exceptions=True)
+            if any(isinstance(result, ConnectionResetError) for result in results):
+                _reset_on_close(writer)
+                _reset_on_close(target_writer)
+            self._connections.discard(connection)
             self._writers.discard(target_writer)
             target_writer.transport.abort()
 
-    async def _async_pass(
+    async def _async_relay(
         self,
-        link: _Link,
+        connection: _Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         to_target: bool,
     ) -> None:
-        passed = 0
+        relayed_bytes = 0
         while data := await reader.read(READ_BYTES):
             faults = self.faults
             was_frozen = faults.frozen
@@ -161,50 +165,58 @@
             if to_target and was_frozen and reader.at_eof():
                 # What a cut held up is lost with its sender's connection.
                 return
-            is_cut = faults.cut_to_target if to_target else faults.cut_to_caller
-            if is_cut or link.is_silent:
+            is_discarded = (
+                faults.blackhole_to_target if to_target else faults.blackhole_to_caller
+            )
+            if is_discarded or connection.is_blackholed:
                 continue
-            limit = faults.drop_after_bytes
-            if not to_target and limit is not None and passed + len(data) > limit:
-                writer.write(data[: max(0, limit - passed)])
+            max_bytes = faults.close_after_bytes
+            if (
+                not to_target
+                and max_bytes is not None
+                and relayed_bytes + len(data) > max_bytes
+            ):
+                writer.write(data[: max(0, max_bytes - relayed_bytes)])
                 await writer.drain()
                 return
-            passed += len(data)
-            if to_target or math.isinf(faults.bytes_a_second):
+            relayed_bytes += len(data)
+            if to_target or math.isinf(faults.bytes_per_second):
                 writer.write(data)
                 await writer.drain()
             else:
-                await self._async_pass_in_turns(data, writer)
-        if link.is_silent and not to_target:
+                await self._async_relay_at_limited_rate(data, writer)
+        if connection.is_blackholed and not to_target:
             await asyncio.Event().wait()
 
-    async def _async_pass_in_turns(
+    async def _async_relay_at_limited_rate(
         self, data: bytes, writer: asyncio.StreamWriter
     ) -> None:
         clock = asyncio.get_running_loop().time
-        for start in range(0, len(data), THIN_LINK_TURN_BYTES):
-            turn = data[start : start + THIN_LINK_TURN_BYTES]
-            seconds = len(turn) / self.faults.bytes_a_second
-            begun_at = clock() - self._late_seconds
-            self._is_free_at = max(begun_at, self._is_free_at) + seconds
-            due_at = self._is_free_at
+        for start in range(0, len(data), BANDWIDTH_SLICE_BYTES):
+            slice_bytes = data[start : start + BANDWIDTH_SLICE_BYTES]
+            seconds = len(slice_bytes) / self.faults.bytes_per_second
+            started_at = clock() - self._timer_lag_seconds
+            self._link_free_at = max(started_at, self._link_free_at) + seconds
+            due_at = self._link_free_at
             await asyncio.sleep(max(0.0, due_at - clock()))
-            late = max(0.0, clock() - due_at)
-            self._late_seconds = min(late, THIN_LINK_LAG_SECONDS)
-            writer.write(turn)
+            lag = max(0.0, clock() - due_at)
+            self._timer_lag_seconds = min(lag, MAX_BANDWIDTH_CATCH_UP_SECONDS)
+            writer.write(slice_bytes)
             await writer.drain()
 
     async def _async_delay(self) -> None:
         faults = self.faults
         if faults.delay_seconds:
             await asyncio.sleep(faults.delay_seconds)
-        while faults.lost_share and self._random.random() < faults.lost_share:
-            await asyncio.sleep(RESEND_SECONDS)
+        while (
+            faults.packet_loss_rate and self._random.random() < faults.packet_loss_rate
+        ):
+            await asyncio.sleep(RETRANSMIT_SECONDS)
         while faults.frozen:
-            await asyncio.sleep(FROZEN_STEP_SECONDS)
+            await asyncio.sleep(FROZEN_POLL_SECONDS)
 
 
-def _make_reset(writer: asyncio.StreamWriter) -> None:
+def _reset_on_close(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
     if sock is not None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
--- a/libraries/standins/tarragonward_standins/observe.py
+++ b/libraries/standins/tarragonward_standins/observe.py
@@ -17,7 +17,7 @@
 
 __all__ = [
     "Balancer",
-    "async_put_proxy_before",
+    "async_insert_proxy",
     "async_read_load",
     "async_wait_engines",
     "async_wait_idle",
@@ -25,7 +25,7 @@
     "make_prompt",
 ]
 
-HEALTH_SECONDS = 0.2
+HEALTH_INTERVAL_SECONDS = 0.2
 HEALTH_TIMEOUT_SECONDS = 0.5
 POLL_SECONDS = 0.1
 
@@ -70,7 +70,7 @@
         await asyncio.sleep(POLL_SECONDS)
 
 
-async def async_put_proxy_before(site: Site, engine: str, base: int = 0) -> FaultProxy:
+async def async_insert_proxy(site: Site, engine: str, base: int = 0) -> FaultProxy:
     """Publish a fault-injecting proxy as an engine's address, and wait for all hosts.
 
     base is the configuration's number before it.
@@ -99,7 +99,7 @@
         self.failure_domains: frozenset[str] = frozenset()
         self._site = site
         self._healthy: dict[str, SiteHost] = dict(site.hosts)
-        self._turn = itertools.count()
+        self._next_index = itertools.count()
         self._task: asyncio.Task[None] | None = None
 
     async def async_setup(self) -> None:
@@ -119,7 +119,7 @@
             for host in (self._healthy or self._site.hosts).values()
             if not self.failure_domains or host.failure_domain in self.failure_domains
         ]
-        return hosts[next(self._turn) % len(hosts)]
+        return hosts[next(self._next_index) % len(hosts)]
 
     async def _async_check_all(self) -> None:
         # Each host is checked on its own. Symptom of waiting for the slowest check: a
@@ -134,7 +134,7 @@
                 self._healthy[host.name] = host
             else:
                 self._healthy.pop(host.name, None)
-            await asyncio.sleep(HEALTH_SECONDS)
+            await asyncio.sleep(HEALTH_INTERVAL_SECONDS)
 
 
 async def _async_is_healthy(host: SiteHost) -> bool:
--- a/libraries/standins/tarragonward_standins/platform_runner.py
+++ b/libraries/standins/tarragonward_standins/platform_runner.py
@@ -138,7 +138,7 @@
         self._server = PlainServer(
             self._async_handle, plan.host, max_connections=plan.max_connections
         )
-        self.link: FaultProxy | None = None
+        self.proxy: FaultProxy | None = None
         self.on_crash: list[Callable[[PlatformRunner], None]] = []
         self._crashing: asyncio.Task[None] | None = None
         self.limits: list[LimitSpan] = []
@@ -156,9 +156,9 @@
     async def async_setup(self) -> None:
         """Listen and register."""
         await self._server.async_setup()
-        self.link = FaultProxy(self._address, self._server.address)
-        await self.link.async_setup()
-        self._address = self.link.address
+        self.proxy = FaultProxy(self._address, self._server.address)
+        await self.proxy.async_setup()
+        self._address = self.proxy.address
         self._beating = asyncio.create_task(self._async_beat())
 
     async def async_unload(self) -> None:
@@ -166,8 +166,8 @@
         if self._beating is not None:
             self._beating.cancel()
         await self._server.async_unload()
-        if self.link is not None:
-            await self.link.async_unload()
+        if self.proxy is not None:
+            await self.proxy.async_unload()
 
     async def async_leave(self, serve_seconds: float) -> None:
         """Say that it is draining, serve on, and be gone."""
--- a/libraries/standins/tarragonward_standins/platform_store.py
+++ b/libraries/standins/tarragonward_standins/platform_store.py
@@ -69,7 +69,7 @@
     store: PlatformStore
     trouble: StoreTrouble = StoreTrouble.NONE
     server: PlainServer = field(init=False)
-    link: FaultProxy = field(init=False)
+    proxy: FaultProxy = field(init=False)
 
     def __post_init__(self) -> None:
         self.server = PlainServer(self._async_handle)
@@ -77,18 +77,18 @@
     @property
     def address(self) -> Address:
         """Return the address in use, that of its link."""
-        return self.link.address
+        return self.proxy.address
 
     async def async_setup(self) -> None:
         """Listen."""
         await self.server.async_setup()
-        self.link = FaultProxy(Address(self.server.host, 0), self.server.address)
-        await self.link.async_setup()
+        self.proxy = FaultProxy(Address(self.server.host, 0), self.server.address)
+        await self.proxy.async_setup()
 
     async def async_unload(self) -> None:
         """Close the address."""
         await self.server.async_unload()
-        await self.link.async_unload()
+        await self.proxy.async_unload()
 
     async def _async_handle(
         self, request: PlainRequest, writer: asyncio.StreamWriter
--- a/libraries/standins/tarragonward_standins/scripted.py
+++ b/libraries/standins/tarragonward_standins/scripted.py
@@ -32,7 +32,7 @@
 HEAD_END = b"\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 STREAM_LINES = ("Content-Type: text/event-stream",)
-BODILESS = (204, 304)
+STATUSES_WITHOUT_BODY = (204, 304)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 WAIT_SECONDS = 10.0
 
@@ -75,7 +75,7 @@
     script: Script
     id: str = ""
     reads_body: bool = True
-    seen: list[RawRequest] = field(default_factory=list)
+    requests: list[RawRequest] = field(default_factory=list)
     caller_left: asyncio.Event = field(default_factory=asyncio.Event)
     _server: asyncio.Server | None = None
 
@@ -103,13 +103,13 @@
             if self.reads_body:
                 length = int((request.get("content-length") or ["0"])[0])
                 request.body = await reader.readexactly(length)
-            self.seen.append(request)
-            watching = asyncio.ensure_future(self._async_watch(reader))
+            self.requests.append(request)
+            watch_task = asyncio.ensure_future(self._async_watch(reader))
             try:
                 await self._async_play(request, writer)
                 await writer.drain()
             finally:
-                watching.cancel()
+                watch_task.cancel()
         writer.close()
 
     async def _async_play(
@@ -191,12 +191,12 @@
     numbers: Iterable[int], cut: bytes = b"", is_ended: bool = True
 ) -> Script:
     """Return a script that streams events, then a cut part of one, then its end."""
-    pieces = [build_chunk(build_event(number)) for number in numbers]
+    chunks = [build_chunk(build_event(number)) for number in numbers]
 
     async def script(request: RawRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(build_answer(request, b"", "200 OK", STREAM_LINES, [CHUNKED]))
-        for piece in pieces:
-            writer.write(piece)
+        for chunk in chunks:
+            writer.write(chunk)
             await writer.drain()
         writer.write(build_chunk(cut) if cut else b"")
         writer.write(LAST_CHUNK if is_ended else b"")
@@ -211,7 +211,7 @@
     status: int
     headers: RawHeaderList
     body: bytes = b""
-    is_whole: bool = True
+    is_complete: bool = True
 
     def get(self, name: str) -> list[str]:
         """Return the values of a header, in order."""
@@ -253,7 +253,7 @@
         async with asyncio.timeout(WAIT_SECONDS):
             first_line, headers = _parse_head(await self.reader.readuntil(HEAD_END))
             answer = RawAnswer(int(first_line.split()[1]), headers)
-            if method != "HEAD" and answer.status not in BODILESS:
+            if method != "HEAD" and answer.status not in STATUSES_WITHOUT_BODY:
                 await self._async_read_body(answer)
         return answer
 
@@ -270,4 +270,4 @@
                     return
                 answer.body += part[:size]
         except (asyncio.IncompleteReadError, ConnectionError):
-            answer.is_whole = False
+            answer.is_complete = False
--- a/libraries/standins/tests/test_fault_proxy.py
+++ b/libraries/standins/tests/test_fault_proxy.py
@@ -40,7 +40,7 @@
     """No bytes and no end come back; only a time-out of the caller's own shows it."""
     old = await async_open(link)
     assert await async_echo_through(old) == b"x"
-    link.silence_open()
+    link.blackhole_open_connections()
     old[1].write(b"y")
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.2):
@@ -52,7 +52,7 @@
 
 
 async def test_a_lossy_link_brings_all_in_order(link):
-    link.faults.lost_share = 0.3
+    link.faults.packet_loss_rate = 0.3
     link.faults.delay_seconds = 0.002
     connection = await async_open(link)
     for number in range(10):
--- a/libraries/standins/tests/test_observe.py
+++ b/libraries/standins/tests/test_observe.py
@@ -27,10 +27,10 @@
     balancer = Balancer(SimpleNamespace(hosts=hosts))
     await balancer.async_setup()
     async with asyncio.timeout(30):
-        while len(targets["hung"].seen) < 4:
+        while len(targets["hung"].requests) < 4:
             await asyncio.sleep(0.01)
     await balancer.async_unload()
-    assert len(targets["well"].seen) > 5
+    assert len(targets["well"].requests) > 5
     assert {balancer.choose().name for _ in range(4)} == {"well"}
     for target in targets.values():
         await target.async_unload()
--- a/libraries/wire/tests/test_peers.py
+++ b/libraries/wire/tests/test_peers.py
@@ -89,7 +89,7 @@
     """
     text = "x" * 300_000
     link = FaultProxy(Address("127.0.0.1", 0), server[0])
-    link.faults.bytes_a_second = len(text) / 1.5
+    link.faults.bytes_per_second = len(text) / 1.5
     await link.async_setup()
     fixed_timeout_links, inactivity_timeout_links = (
         PeerLinks(CLIENT, KEY),
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -114,7 +114,7 @@
     first = await clerk.async_call(NORTH)
     for name in (NORTH, SOUTH):
         site.proxies[f"peers-{name}"].faults.refuse = True
-        site.proxies[f"peers-{name}"].end_connections()
+        site.proxies[f"peers-{name}"].abort_connections()
     for _ in range(3):
         assert (await clerk.async_call(NORTH)).body == first.body
         assert (await clerk.async_call(SOUTH, limit=2.0)).code == UNKNOWN
@@ -130,7 +130,7 @@
     assert await clerk.async_count_runs() == 1
 
 
-@pytest.mark.parametrize("cut", ["cut_to_target", "cut_to_caller"])
+@pytest.mark.parametrize("cut", ["blackhole_to_target", "blackhole_to_caller"])
 async def test_a_one_way_cut_to_the_owner_ends_within_the_limit(make_site, cut):
     site = await make_site(ONE_APP)
     clerk = await Clerk.async_make(site)
@@ -141,7 +141,7 @@
     started = loop.time()
     assert (await clerk.async_call(SOUTH, limit=1.0)).code == UNKNOWN
     assert loop.time() - started < 1.5
-    assert await clerk.async_count_runs() == (cut == "cut_to_caller")
+    assert await clerk.async_count_runs() == (cut == "blackhole_to_caller")
 
 
 async def test_an_answer_lost_on_the_way_back_is_asked_for_again(make_site):
@@ -155,10 +155,10 @@
     first = asyncio.create_task(clerk.async_call(SOUTH))
     await clerk.async_wait_for_run()
     proxy = site.proxies[f"peers-{NORTH}"]
-    proxy.faults.cut_to_caller = True
+    proxy.faults.blackhole_to_caller = True
     await asyncio.sleep(0.8)
-    proxy.faults.cut_to_caller = False
-    proxy.end_connections()
+    proxy.faults.blackhole_to_caller = False
+    proxy.abort_connections()
     result = await first
     assert (result.code, await clerk.async_count_runs()) == (OK, 1)
 
@@ -167,7 +167,7 @@
     site = await make_site(ONE_APP)
     clerk = await Clerk.async_make(site)
     for name in site.services:
-        site.proxies[name].faults.drop_after_bytes = 20
+        site.proxies[name].faults.close_after_bytes = 20
     for name in (NORTH, SOUTH, NORTH):
         assert (await clerk.async_call(name)).code == UNKNOWN
     assert await clerk.async_count_runs() == 1
@@ -266,7 +266,7 @@
     assert first.code == OK
     for name in (NORTH, SOUTH):
         site.proxies[f"peers-{name}"].faults.refuse = True
-        site.proxies[f"peers-{name}"].end_connections()
+        site.proxies[f"peers-{name}"].abort_connections()
     other = await Clerk.async_make(site, SOUTH)
     assert (await other.async_call(SOUTH)).code == OK
     assert (await clerk.async_call(SOUTH, limit=2.0)).code == UNKNOWN
@@ -295,7 +295,7 @@
     proxy = site.proxies[f"peers-{NORTH}"]
     proxy.faults.refuse = True
     assert (await first).code == UNKNOWN
-    proxy.end_connections()
+    proxy.abort_connections()
     assert (await clerk.async_call(SOUTH, limit=1.0)).code == UNKNOWN
     site.send_signal(NORTH, signal.SIGCONT)
     proxy.faults.refuse = False
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -95,7 +95,7 @@
     south = [name for name in site.hosts if "south" in name]
     for name in south:
         site.proxies[f"platform-{name}"].faults.refuse = True
-        site.proxies[f"platform-{name}"].end_connections()
+        site.proxies[f"platform-{name}"].abort_connections()
     await site.async_publish(0, set_weight(5))
     await async_wait_in_force(site, 1)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -73,13 +73,13 @@
     )
     unreached, *others = site.hosts
     await async_wait_states(site, others, {unreached: "alive"})
-    site.proxies[f"peers-{unreached}"].faults.cut_to_target = True
+    site.proxies[f"peers-{unreached}"].faults.blackhole_to_target = True
     end = asyncio.get_running_loop().time() + CUT_SECONDS
     while asyncio.get_running_loop().time() < end:
         for name in others:
             assert (await async_get_states(site, name))[unreached] != "dead"
         await asyncio.sleep(0.2)
-    site.proxies[f"peers-{unreached}"].faults.cut_to_target = False
+    site.proxies[f"peers-{unreached}"].faults.blackhole_to_target = False
     await async_wait_states(site, others, {unreached: "alive"})
 
 
@@ -96,7 +96,7 @@
     proxies = [site.proxies[f"peers-{name}"] for name in names]
     for proxy in proxies:
         proxy.faults.refuse = True
-        proxy.end_connections()
+        proxy.abort_connections()
     for one, other in (names, reversed(names)):
         await async_wait_states(site, [one], {other: "dead"})
     token = site.tokens["camara"]
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -10,7 +10,7 @@
 from tarragonward_core import ResultCode
 from tarragonward_standins.client import Outcome, async_complete
 from tarragonward_standins.observe import (
-    async_put_proxy_before,
+    async_insert_proxy,
     async_read_load,
     async_wait_idle,
     build_completion_body,
@@ -72,7 +72,7 @@
     async with AsyncExitStack() as stack:
 
         async def async_make(site, engine, base=0):
-            proxy = await async_put_proxy_before(site, engine, base)
+            proxy = await async_insert_proxy(site, engine, base)
             stack.push_async_callback(proxy.async_unload)
             return proxy
 
@@ -103,7 +103,7 @@
     plan = SitePlan(("north",), engines_per_domain=1, services_per_domain=0)
     site = await make_site(plan)
     proxy = await proxies(site, "engine-north-1")
-    proxy.faults.drop_after_bytes = 2_001
+    proxy.faults.close_after_bytes = 2_001
     asking = ask(site, "aisle")
     seen = await watch_streams(site, "engine-north-1", asking)
     assert_all_whole([await asking])
@@ -259,7 +259,7 @@
     await set_leaving(site, "engine-north-1")
     await asyncio.sleep(3.0)
     assert not any(a.done() for a in asking)
-    proxy.end_connections()
+    proxy.abort_connections()
     await wait_for_streams(site, "engine-north-2", 2)
     assert_all_whole(await asyncio.gather(*asking))
     assert await count_streams(site, "engine-north-1") == 0
@@ -313,7 +313,7 @@
     await wait_for_streams(site, "engine-north-2", 2)
     await site.async_kill("platform")
     await site.async_kill("engine-north-1")
-    proxy.end_connections()
+    proxy.abort_connections()
     assert_all_whole(await asyncio.gather(*asking))
     assert await async_wait_idle(site, 10) == {}
 
