--- a/libraries/bench/tarragonward_bench/experiment/__init__.py
+++ b/libraries/bench/tarragonward_bench/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Play policies side by side on a modelled fleet."""
+"""Compare placement policies on a simulated fleet."""
--- a/libraries/bench/tarragonward_bench/experiment/__main__.py
+++ b/libraries/bench/tarragonward_bench/experiment/__main__.py
@@ -1,4 +1,4 @@
-"""Let `python3 -m tarragonward_bench.experiment` run the room's main job."""
+"""Entry point of `python3 -m tarragonward_bench.experiment`."""
 
 import sys
 
--- a/libraries/bench/tarragonward_bench/experiment/engine.py
+++ b/libraries/bench/tarragonward_bench/experiment/engine.py
@@ -1,4 +1,4 @@
-"""Play one engine of the experiment: passes in simulated time, events as they come."""
+"""Simulate one engine: its passes in simulated time, and the events they produce."""
 
 from __future__ import annotations
 
@@ -12,96 +12,110 @@
     PassWork,
 )
 
-__all__ = ["Clock", "EngineNode", "Run"]
+__all__ = ["EngineNode", "EngineRequest", "Schedule"]
 
-# Longer than any run: in the experiment no host dies with what it holds.
-HOLD_SECONDS = 1e6
-STATUS_HELD = 200
+# Longer than any run: no host fails here, so no reservation has to expire.
+RESERVATION_SECONDS = 1e6
+STATUS_RESERVED = 200
 
-Clock = Callable[[float, Callable[[], None]], None]
+Schedule = Callable[[float, Callable[[], None]], None]
 
 
 @dataclass(eq=False)
-class Run:
-    """One prompt at its engine; whoever sent it hears of events by the callbacks."""
+class EngineRequest:
+    """One prompt at the engine that answers it, with the sender's callbacks."""
 
     work: PassWork
     on_event: Callable[[float], None]
     on_end: Callable[[float], None]
-    events_left: int
+    remaining_events: int
 
 
 @dataclass(frozen=True)
-class Busy:
-    """A span of an engine's time: what it wrote and read in it."""
+class PassSpan:
+    """One pass of an engine: its time span, decoding requests and prefilled tokens."""
 
     begin: float
     end: float
-    writers: int
-    read_tokens: int
+    decoding_requests: int
+    prefill_tokens: int
 
 
 class EngineNode:
-    """An engine, its queue, and the passes one after the other."""
+    """An engine, its queue and its passes, which run one at a time."""
 
     def __init__(
-        self, name: str, zone: str, sizes: PassSizes, event_tokens: int, after: Clock
+        self,
+        name: str,
+        zone: str,
+        sizes: PassSizes,
+        event_tokens: int,
+        schedule: Schedule,
     ) -> None:
         self.name, self.zone = name, zone
         self.engine = PassEngine(sizes)
-        self.busy: list[Busy] = []
+        self.passes: list[PassSpan] = []
         self._event_tokens = event_tokens
-        self._after = after
-        self._runs: dict[PassWork, Run] = {}
-        self._part_ends: dict[PassWork, Callable[[], None]] = {}
-        self._holders: set[PassWork] = set()
+        self._schedule = schedule
+        self._requests: dict[PassWork, EngineRequest] = {}
+        self._part_callbacks: dict[PassWork, Callable[[], None]] = {}
+        self._retained_parts: set[PassWork] = set()
         self._is_in_pass = False
 
     @property
     def requests(self) -> int:
-        """Return how many requests run or wait here."""
-        return len(self._runs)
+        """Return the number of running and waiting requests."""
+        return len(self._requests)
 
     @property
-    def parts(self) -> int:
-        """Return how many parts of others' prompts are read here."""
-        return len(self._part_ends)
+    def part_count(self) -> int:
+        """Return the number of prompt parts prefilled here for other engines."""
+        return len(self._part_callbacks)
 
-    def add(self, run: Run, now: float) -> None:
+    def add(self, request: EngineRequest, now: float) -> None:
         """Queue a request."""
-        self._runs[run.work] = run
-        self.engine.add(run.work)
+        self._requests[request.work] = request
+        self.engine.add(request.work)
         self._start(now)
 
     def add_part(
-        self, work: PassWork, holds: bool, on_read: Callable[[], None], now: float
+        self,
+        work: PassWork,
+        is_retained: bool,
+        on_prefilled: Callable[[], None],
+        now: float,
     ) -> None:
-        """Read a part of a prompt that another engine answers, and hold it or not."""
-        self._part_ends[work] = on_read
-        if holds:
-            self._holders.add(work)
+        """Prefill a part of a prompt that another engine answers.
+
+        A retained part stays in memory until the answer has ended.
+        """
+        self._part_callbacks[work] = on_prefilled
+        if is_retained:
+            self._retained_parts.add(work)
         self.engine.add(work)
         self._start(now)
 
-    def wake(self, now: float) -> None:
-        """Go on where a request may write now."""
+    def resume(self, now: float) -> None:
+        """Start a pass if a request has become able to decode."""
         self._start(now)
 
-    def hold(self, ticket: str, tokens: int, now: float) -> bool:
-        """Set memory aside; return whether there was enough."""
-        status = self.engine.reserve(ticket, tokens, HOLD_SECONDS, False, now)
-        return status == STATUS_HELD
+    def reserve(self, reservation_id: str, tokens: int, now: float) -> bool:
+        """Reserve memory; return whether there was enough."""
+        status = self.engine.reserve(
+            reservation_id, tokens, RESERVATION_SECONDS, False, now
+        )
+        return status == STATUS_RESERVED
 
-    def release(self, ticket: str, now: float) -> None:
-        """Free what was set aside, for those that wait for memory."""
-        self.engine.release(ticket)
+    def release(self, reservation_id: str, now: float) -> None:
+        """Release a reservation and let requests that wait for memory start."""
+        self.engine.release(reservation_id)
         self._start(now)
 
     def remove(self, work: PassWork) -> None:
         """Drop a request or a part."""
-        self._runs.pop(work, None)
-        self._part_ends.pop(work, None)
-        self._holders.discard(work)
+        self._requests.pop(work, None)
+        self._part_callbacks.pop(work, None)
+        self._retained_parts.discard(work)
         self.engine.remove(work)
 
     def _start(self, now: float) -> None:
@@ -112,39 +126,39 @@
         result = self.engine.begin_pass()
         tokens = sum(work.read - before.get(work, 0) for work in set(result.read))
         end = now + result.seconds
-        self.busy.append(Busy(now, end, len(result.written), tokens))
-        self._after(end, lambda: self._end(result, end))
+        self.passes.append(PassSpan(now, end, len(result.written), tokens))
+        self._schedule(end, lambda: self._end(result, end))
 
     def _end(self, result: PassResult, now: float) -> None:
         self._is_in_pass = False
         read = self.engine.end_pass(result)
         for work, _ in result.written:
-            self._give_event(work, now)
+            self._emit_event(work, now)
         for work in dict.fromkeys(read):
-            self._note_read(work, now)
+            self._finish_prefill(work, now)
         self._start(now)
 
-    def _note_read(self, work: PassWork, now: float) -> None:
-        on_read = self._part_ends.pop(work, None)
-        if on_read is not None:
-            # A holder's passes are slowed by its part until the answer has ended.
-            if work not in self._holders:
+    def _finish_prefill(self, work: PassWork, now: float) -> None:
+        on_prefilled = self._part_callbacks.pop(work, None)
+        if on_prefilled is not None:
+            # A retained part slows the passes of its engine until the answer has ended.
+            if work not in self._retained_parts:
                 self.engine.remove(work)
-            on_read()
-        elif work in self._runs and not work.waits_for and not work.written:
-            self.give_first(work, now)
+            on_prefilled()
+        elif work in self._requests and not work.waits_for and not work.written:
+            self.emit_first_event(work, now)
 
-    def give_first(self, work: PassWork, now: float) -> None:
-        """Give out the first event: the prompt has been read by all its readers."""
+    def emit_first_event(self, work: PassWork, now: float) -> None:
+        """Emit the first event, after all engines have prefilled their parts."""
         work.written += 1
-        self._give_event(work, now)
+        self._emit_event(work, now)
 
-    def _give_event(self, work: PassWork, now: float) -> None:
-        run = self._runs.get(work)
-        if run is None:
+    def _emit_event(self, work: PassWork, now: float) -> None:
+        request = self._requests.get(work)
+        if request is None:
             return
-        run.events_left -= 1
-        run.on_event(now)
-        if run.events_left <= 0:
+        request.remaining_events -= 1
+        request.on_event(now)
+        if request.remaining_events <= 0:
             self.remove(work)
-            run.on_end(now)
+            request.on_end(now)
--- a/libraries/bench/tarragonward_bench/experiment/fleet.py
+++ b/libraries/bench/tarragonward_bench/experiment/fleet.py
@@ -1,4 +1,4 @@
-"""Play arrivals on modelled engines and hosts that hear late, in simulated time."""
+"""Simulate arrivals on engines and on hosts that receive gossip with a delay."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from .arrivals import Arrival, Outcome
 from .calls import CallService
 from .engine import EngineNode
-from .policies import POLICY_KINDS, PolicyPlan, Sending
-from .prompt import HANDLING_SECONDS, Host, PromptRun
+from .policies import POLICY_KINDS, Decision, PolicyPlan
+from .prompt import PROCESSING_SECONDS, Host, PromptRun
 from .site import CallKind, Site
 
-__all__ = ["Played", "play"]
+__all__ = ["PolicyRun", "simulate"]
 
 TAIL_SECONDS = 16.0
 PRODUCT = "product"
-# Mates are told of each prompt at once, and all again as their bytes allow.
-CELL_ROUND_SECONDS = 2.0
-# Hosts of a cell know the same, so one of them builds the summary for all meanwhile.
-SHARED_SUMMARY_SECONDS = 0.02
+# Peers of the cell get each prompt at once; the full digest only as bandwidth allows.
+CELL_GOSSIP_INTERVAL_SECONDS = 2.0
+# Hosts of a cell have the same data, so they share a summary for this long.
+SUMMARY_REUSE_SECONDS = 0.02
 
 
 @dataclass
-class Played:
-    """One policy's run."""
+class PolicyRun:
+    """The result of one policy with one seed."""
 
     policy: str
     seed: int
@@ -41,26 +41,26 @@
     decision_seconds: float
 
 
-def play(
+def simulate(
     site: Site, plan: PolicyPlan, arrivals: list[Arrival], seed: int, seconds: float
-) -> Played:
-    """Play one policy on the arrivals."""
+) -> PolicyRun:
+    """Run one policy on the arrivals."""
     return _Fleet(site, plan, seed).run(arrivals, seconds)
 
 
 class _Fleet:
     def __init__(self, site: Site, plan: PolicyPlan, seed: int) -> None:
         self.site, self._plan = site, plan
-        self.hears_counts = plan.hears_counts
+        self.receives_request_counts = plan.receives_request_counts
         self._rng = random.Random(f"fleet {seed}")
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self.now = 0.0
         self.engines = {
-            name: EngineNode(name, zone, site.sizes, site.event_tokens, self._at)
+            name: EngineNode(name, zone, site.sizes, site.event_tokens, self._schedule)
             for name, zone in self._name_engines()
         }
-        # The hosts share an order of the engines that says nothing of zones.
+        # All hosts use the same order of the engines, independent of zones.
         names = sorted(self.engines, key=lambda _: self._rng.random())
         model = site.build_engine_model()
         policy = POLICY_KINDS[plan.kind]
@@ -69,34 +69,37 @@
             for zone in site.zones
             for n in range(zone.hosts)
         ]
-        self._mates = [
+        self._cell_peers = [
             [other for other in self.hosts if other is not host] for host in self.hosts
         ]
-        self._is_divided = False
+        self._has_cells = False
         self._summaries: dict[Collection[str], tuple[float, dict]] = {}
-        self._round_seconds = membership_const.HELLO_INTERVAL_SECONDS
+        self._gossip_interval_seconds = membership_const.HELLO_INTERVAL_SECONDS
         if plan.has_cells and plan.kind == PRODUCT:
-            self._divide()
+            self._divide_into_cells()
         for host in self.hosts:
             host.policy.widens = plan.widens
             host.policy.own_zone = host.zone
             host.policy.zones = {n.name: n.zone for n in self.engines.values()}
-        self._calls = CallService(site, self._at, random.Random(f"calls {seed}"))
+        self._calls = CallService(site, self._schedule, random.Random(f"calls {seed}"))
         self._decisions, self._decision_seconds = 0, 0.0
         self._outcomes: list[Outcome] = []
-        if plan.tells_peers and self.hosts[0].policy.book is not None:
+        if plan.sends_gossip and self.hosts[0].policy.usage is not None:
             self._start_gossip()
 
-    def run(self, arrivals: list[Arrival], seconds: float) -> Played:
+    def run(self, arrivals: list[Arrival], seconds: float) -> PolicyRun:
         for arrival in arrivals:
             outcome = Outcome(arrival)
             self._outcomes.append(outcome)
-            self._at(arrival.at + self.site.client_seconds, self._make_arrive(outcome))
-        end = seconds + TAIL_SECONDS
-        while self._queue and self._queue[0][0] <= end:
+            self._schedule(
+                arrival.at + self.site.client_seconds,
+                self._make_arrival_handler(outcome),
+            )
+        until = seconds + TAIL_SECONDS
+        while self._queue and self._queue[0][0] <= until:
             self.now, _, action = heapq.heappop(self._queue)
             action()
-        return Played(
+        return PolicyRun(
             self._plan.name,
             0,
             self._outcomes,
@@ -105,84 +108,90 @@
             self._decision_seconds,
         )
 
-    def _at(self, at: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (at, next(self._numbers), action))
+    def _schedule(self, at: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (at, next(self._sequence), action))
 
     def _name_engines(self) -> list[tuple[str, str]]:
         return [
-            (f"{zone.name}-{number}", zone.name)
+            (f"{zone.name}-{index}", zone.name)
             for zone in self.site.zones
-            for number in range(zone.engines)
+            for index in range(zone.engines)
         ]
 
-    def _make_arrive(self, outcome: Outcome) -> Callable[[], None]:
-        def arrive() -> None:
+    def _make_arrival_handler(self, outcome: Outcome) -> Callable[[], None]:
+        def handle() -> None:
             if isinstance(outcome.arrival.kind, CallKind):
                 self._calls.send(outcome, self.now)
             else:
                 PromptRun(self, outcome).send()
 
-        return arrive
+        return handle
 
-    def _divide(self) -> None:
-        """Give each host its cell: whom it tells, and the engines that it uses."""
+    def _divide_into_cells(self) -> None:
+        """Assign each host its cell: its gossip peers and the engines that it uses."""
         hosts = [LocatedMember(str(n), host.zone) for n, host in enumerate(self.hosts)]
         engines = [
             LocatedMember(node.name, node.zone) for node in self.engines.values()
         ]
-        for number, host in enumerate(self.hosts):
-            cell = choose_cell(hosts[number], hosts, engines)
+        for index, host in enumerate(self.hosts):
+            cell = choose_cell(hosts[index], hosts, engines)
             if cell.covers_fleet:
                 return
             host.policy.cell = cell.engines
-            if host.policy.book is not None:
-                host.policy.book.announces_every_prompt = True
-            mates = cell.hosts - {str(number)}
-            self._mates[number] = [self.hosts[int(name)] for name in sorted(mates)]
-        self._is_divided = True
-        self._round_seconds = CELL_ROUND_SECONDS
+            if host.policy.usage is not None:
+                host.policy.usage.announces_every_prompt = True
+            cell_peers = cell.hosts - {str(index)}
+            self._cell_peers[index] = [
+                self.hosts[int(name)] for name in sorted(cell_peers)
+            ]
+        self._has_cells = True
+        self._gossip_interval_seconds = CELL_GOSSIP_INTERVAL_SECONDS
 
-    # What hosts tell each other.
+    # Gossip between hosts.
 
     def _start_gossip(self) -> None:
-        for number, host in enumerate(self.hosts):
-            begin = self._rng.uniform(0, self._round_seconds)
-            self._at(begin, self._make_tell(number, host))
-            if self._is_divided and self._plan.widens and self._plan.tells_summaries:
-                self._at(begin, self._make_summarize(host))
-            book = host.policy.book
-            if self._plan.tells_at_once and self._is_mesh and book is not None:
-                book.on_change.append(self._make_tell_at_once(number, host))
+        for index, host in enumerate(self.hosts):
+            begin = self._rng.uniform(0, self._gossip_interval_seconds)
+            self._schedule(begin, self._make_send_digest(index, host))
+            if (
+                self._has_cells
+                and self._plan.widens
+                and self._plan.sends_cell_summaries
+            ):
+                self._schedule(begin, self._make_summarize(host))
+            usage = host.policy.usage
+            if self._plan.sends_immediately and self._is_mesh and usage is not None:
+                usage.on_change.append(self._make_send_immediately(index, host))
 
     @property
     def _is_mesh(self) -> bool:
-        most = max(map(len, self._mates))
-        is_small = most <= membership_const.MAX_MESH_PEERS
-        return is_small or self._is_divided or self._plan.tells_all
+        largest_cell = max(map(len, self._cell_peers))
+        is_small = largest_cell <= membership_const.MAX_MESH_PEERS
+        return is_small or self._has_cells or self._plan.sends_to_all
 
-    def _make_tell(self, number: int, host: Host) -> Callable[[], None]:
-        def tell() -> None:
-            self._tell(number, host)
-            self._at(self.now + self._round_seconds, tell)
+    def _make_send_digest(self, index: int, host: Host) -> Callable[[], None]:
+        def send() -> None:
+            self._send_digest(index, host)
+            self._schedule(self.now + self._gossip_interval_seconds, send)
 
-        return tell
+        return send
 
-    def _make_tell_at_once(self, number: int, host: Host) -> Callable[[bool], None]:
-        def tell(is_reading: bool) -> None:
-            self._tell(number, host, to_all=is_reading and self._plan.widens)
+    def _make_send_immediately(self, index: int, host: Host) -> Callable[[bool], None]:
+        def send(is_prefill: bool) -> None:
+            self._send_digest(index, host, to_all=is_prefill and self._plan.widens)
 
-        return tell
+        return send
 
     def _make_summarize(self, host: Host) -> Callable[[], None]:
-        book, cell = host.policy.book, host.policy.cell
-        far = [other for other in self.hosts if other.zone != host.zone]
-        delay = self.site.cross_zone_seconds + HANDLING_SECONDS / 2
-        assert book is not None and cell is not None
+        usage, cell = host.policy.usage, host.policy.cell
+        remote_hosts = [other for other in self.hosts if other.zone != host.zone]
+        delay = self.site.cross_zone_seconds + PROCESSING_SECONDS / 2
+        assert usage is not None and cell is not None
 
         def build() -> dict:
             made_at, summary = self._summaries.get(cell, (float("-inf"), {}))
-            if self.now - made_at > SHARED_SUMMARY_SECONDS:
-                summary = book.build_summary(cell, self.now)
+            if self.now - made_at > SUMMARY_REUSE_SECONDS:
+                summary = usage.build_summary(cell, self.now)
                 self._summaries[cell] = self.now, summary
             return summary
 
@@ -190,51 +199,55 @@
             for _ in range(membership_const.HELLO_FANOUT):
                 if self._rng.random() < membership_const.CROSS_DOMAIN_HELLO_SHARE:
                     summary = build()
-                    other = self._rng.choice(far)
-                    hear = self._make_hear_summary(other, summary, delay)
-                    self._at(self.now + delay, hear)
-            self._at(self.now + membership_const.HELLO_INTERVAL_SECONDS, summarize)
+                    other = self._rng.choice(remote_hosts)
+                    receive = self._make_receive_summary(other, summary, delay)
+                    self._schedule(self.now + delay, receive)
+            self._schedule(
+                self.now + membership_const.HELLO_INTERVAL_SECONDS, summarize
+            )
 
         return summarize
 
-    def _make_hear_summary(
+    def _make_receive_summary(
         self, other: Host, summary: dict, age: float
     ) -> Callable[[], None]:
-        book = other.policy.book
-        assert book is not None
-        return lambda: book.apply_summary(summary, age, self.now)
+        usage = other.policy.usage
+        assert usage is not None
+        return lambda: usage.apply_summary(summary, age, self.now)
 
-    def _tell(self, number: int, host: Host, to_all: bool = False) -> None:
-        others = self._mates[number]
+    def _send_digest(self, index: int, host: Host, to_all: bool = False) -> None:
+        others = self._cell_peers[index]
         if to_all:
             others = [other for other in self.hosts if other is not host]
         elif not self._is_mesh:
             others = self._rng.sample(others, membership_const.HELLO_FANOUT)
-        assert host.policy.book is not None
-        digest = host.policy.book.build_digest(self.now)
+        assert host.policy.usage is not None
+        digest = host.policy.usage.build_digest(self.now)
         for other in others:
-            delay = self.site.get_delay(host.zone, other.zone) + HANDLING_SECONDS / 2
-            self._at(self.now + delay, self._make_hear(number, other, digest, delay))
+            delay = self.site.get_delay(host.zone, other.zone) + PROCESSING_SECONDS / 2
+            self._schedule(
+                self.now + delay, self._make_receive_digest(index, other, digest, delay)
+            )
 
-    def _make_hear(
-        self, number: int, other: Host, digest: dict, age: float
+    def _make_receive_digest(
+        self, index: int, other: Host, digest: dict, age: float
     ) -> Callable[[], None]:
-        book = other.policy.book
-        assert book is not None
-        return lambda: book.apply_digest(str(number), digest, age, self.now)
+        usage = other.policy.usage
+        assert usage is not None
+        return lambda: usage.apply_digest(str(index), digest, age, self.now)
 
     def choose(
-        self, host: Host, need: PromptRequirements, tried: set[str]
-    ) -> Sending | None:
-        """Let a host decide, and count what it took."""
+        self, host: Host, requirements: PromptRequirements, tried: set[str]
+    ) -> Decision | None:
+        """Let a host decide, and record the processor time of the decision."""
         began = time.thread_time()
-        sending = host.policy.choose(need, tried, self.now)
+        decision = host.policy.choose(requirements, tried, self.now)
         self._decision_seconds += time.thread_time() - began
         self._decisions += 1
-        return sending
+        return decision
 
-    def draw(self) -> float:
+    def random(self) -> float:
         return self._rng.random()
 
-    def after(self, seconds: float, action: Callable[[], None]) -> None:
-        self._at(self.now + seconds, action)
+    def call_later(self, seconds: float, action: Callable[[], None]) -> None:
+        self._schedule(self.now + seconds, action)
--- a/libraries/bench/tarragonward_bench/experiment/prompt.py
+++ b/libraries/bench/tarragonward_bench/experiment/prompt.py
@@ -1,4 +1,4 @@
-"""Take one prompt through the experiment, from its host to its caller's patience."""
+"""Simulate one prompt from its host through its engines to its caller's timeout."""
 
 from __future__ import annotations
 
@@ -11,52 +11,52 @@
 from tarragonward_standins.platform_engine import PassWork
 
 from .arrivals import Outcome
-from .engine import EngineNode, Run
-from .policies import HostPolicy, Sending
+from .engine import EngineNode, EngineRequest
+from .policies import Decision, HostPolicy
 from .site import PromptKind, Site
 
-__all__ = ["HANDLING_SECONDS", "Fleet", "Host", "PromptRun"]
+__all__ = ["PROCESSING_SECONDS", "Fleet", "Host", "PromptRun"]
 
 HANDSHAKE_SECONDS = 0.001
 MAX_SENDS = 2
-MIN_LEAVE_SECONDS = 2.0
-LEAVE_AIMS = 4
-LEAVE_PAUSES = 8
-# What a host and a runner themselves need of a request's way, one way.
-HANDLING_SECONDS = 0.002
+MIN_CALLER_TIMEOUT_SECONDS = 2.0
+CALLER_TIMEOUT_AIMS = 4
+CALLER_TIMEOUT_PAUSES = 8
+# One-way processing time of a host and an engine together.
+PROCESSING_SECONDS = 0.002
 
 
 @dataclass(eq=False)
 class Host:
-    """An entry host: where it is, and what it decides with."""
+    """An entry host: its zone and its placement policy."""
 
     zone: str
     policy: HostPolicy
 
 
 class Fleet(Protocol):
-    """What a prompt needs of the fleet that it runs on."""
+    """The interface of the fleet that a prompt runs on."""
 
     now: float
     engines: dict[str, EngineNode]
     hosts: list[Host]
     site: Site
-    hears_counts: bool
+    receives_request_counts: bool
 
     def choose(
-        self, host: Host, need: PromptRequirements, tried: set[str]
-    ) -> Sending | None:
-        """Let a host decide."""
+        self, host: Host, requirements: PromptRequirements, tried: set[str]
+    ) -> Decision | None:
+        """Let a host decide where to send a prompt."""
 
-    def after(self, seconds: float, action: Callable[[], None]) -> None:
-        """Do something later."""
+    def call_later(self, seconds: float, action: Callable[[], None]) -> None:
+        """Run an action after a delay."""
 
-    def draw(self) -> float:
-        """Return a random number from 0 up to 1."""
+    def random(self) -> float:
+        """Return a random number from 0 up to but excluding 1."""
 
 
 class PromptRun:
-    """One prompt on its way: at its host, its engines, and its caller."""
+    """The life cycle of one prompt at its host, its engines and its caller."""
 
     def __init__(self, fleet: Fleet, outcome: Outcome) -> None:
         assert isinstance(outcome.arrival.kind, PromptKind)
@@ -64,133 +64,142 @@
         self._kind = outcome.arrival.kind
         self._host = fleet.hosts[outcome.arrival.host]
         self._tried: set[str] = set()
-        self._sending: Sending | None = None
+        self._decision: Decision | None = None
         self._work: PassWork | None = None
         self._parts: list[tuple[EngineNode, PassWork]] = []
         self._has_ended = False
 
-    def send(self, tries: int = 0) -> None:
-        """Choose, hold memory where one engine has too little, and send once."""
+    def send(self, attempt: int = 0) -> None:
+        """Choose engines, reserve memory if one engine has too little, and send."""
         fleet, arrival = self._fleet, self._outcome.arrival
         site, kind = fleet.site, self._kind
-        answer = arrival.events * site.event_tokens
-        need = PromptRequirements(
+        output_tokens = arrival.events * site.event_tokens
+        requirements = PromptRequirements(
             prompt_tokens=arrival.prompt_tokens,
-            output_tokens=answer,
+            output_tokens=output_tokens,
             aim_seconds=arrival.at + kind.aim_ms / 1_000 - fleet.now,
             pause_aim_seconds=kind.pause_aim_ms / 1_000,
         )
-        sending = None
+        decision = None
         if self._outcome.sends < MAX_SENDS:
-            sending = fleet.choose(self._host, need, self._tried)
-        if sending is None:
+            decision = fleet.choose(self._host, requirements, self._tried)
+        if decision is None:
             self._outcome.is_refused = self._has_ended = True
             return
-        self._sending = sending
+        self._decision = decision
         self._outcome.placed_at = fleet.now
-        self._host.policy.begin(sending)
-        if sending.tickets:
-            self._reserve(sorted(sending.tickets), 0, tries)
+        self._host.policy.begin(decision)
+        if decision.reserved_tokens:
+            self._reserve(sorted(decision.reserved_tokens), 0, attempt)
         else:
-            self._go()
+            self._send_to_engine()
 
-    def _reserve(self, names: list[str], place: int, tries: int) -> None:
-        """Hold a part after the other in engine order, as the product does."""
-        if place == len(names):
-            self._go()
+    def _reserve(self, names: list[str], position: int, attempt: int) -> None:
+        """Reserve memory engine by engine in order of name, as the product does."""
+        if position == len(names):
+            self._send_to_engine()
             return
-        fleet, sending = self._fleet, self._sending
-        assert sending is not None
-        engine = fleet.engines[names[place]]
-        way = self._get_way(engine)
-
-        def ask() -> None:
-            tokens = sending.tickets[engine.name]
-            is_held = engine.hold(self._ticket, tokens, fleet.now)
-            fleet.after(way, lambda: answered(is_held))
-
-        def answered(is_held: bool) -> None:
-            if is_held:
-                self._reserve(names, place + 1, tries)
+        fleet, decision = self._fleet, self._decision
+        assert decision is not None
+        engine = fleet.engines[names[position]]
+        delay = self._get_delay(engine)
+
+        def reserve() -> None:
+            tokens = decision.reserved_tokens[engine.name]
+            is_reserved = engine.reserve(self._reservation_id, tokens, fleet.now)
+            fleet.call_later(delay, lambda: handle_answer(is_reserved))
+
+        def handle_answer(is_reserved: bool) -> None:
+            if is_reserved:
+                self._reserve(names, position + 1, attempt)
             else:
-                self._give_back(engine.name, tries)
+                self._retry_reservation(engine.name, attempt)
 
-        fleet.after(way + HANDSHAKE_SECONDS, ask)
+        fleet.call_later(delay + HANDSHAKE_SECONDS, reserve)
 
-    def _give_back(self, full: str, tries: int) -> None:
-        fleet, sending = self._fleet, self._sending
-        assert sending is not None
-        self._release(sending)
-        self._host.policy.end(sending)
-        if tries + 1 >= gateway_const.MAX_RESERVATION_ATTEMPTS:
+    def _retry_reservation(self, full_engine: str, attempt: int) -> None:
+        fleet, decision = self._fleet, self._decision
+        assert decision is not None
+        self._release(decision)
+        self._host.policy.end(decision)
+        if attempt + 1 >= gateway_const.MAX_RESERVATION_ATTEMPTS:
             self._outcome.is_refused = self._has_ended = True
             return
-        if self._host.policy.book is not None:
-            self._host.policy.book.mark_full(full, fleet.now)
-        wait = gateway_const.RESERVATION_RETRY_SECONDS * 2**tries
-        fleet.after(fleet.draw() * wait, lambda: self.send(tries + 1))
+        if self._host.policy.usage is not None:
+            self._host.policy.usage.mark_full(full_engine, fleet.now)
+        wait = gateway_const.RESERVATION_RETRY_SECONDS * 2**attempt
+        fleet.call_later(fleet.random() * wait, lambda: self.send(attempt + 1))
 
     @property
-    def _ticket(self) -> str:
+    def _reservation_id(self) -> str:
         return str(self._outcome.arrival.number)
 
-    def _release(self, sending: Sending) -> None:
-        for name in sending.tickets:
+    def _release(self, decision: Decision) -> None:
+        for name in decision.reserved_tokens:
             engine = self._fleet.engines[name]
-            way = self._get_way(engine)
-            self._fleet.after(way, self._make_release(engine))
+            delay = self._get_delay(engine)
+            self._fleet.call_later(delay, self._make_release(engine))
 
     def _make_release(self, engine: EngineNode) -> Callable[[], None]:
-        return lambda: engine.release(self._ticket, self._fleet.now)
+        return lambda: engine.release(self._reservation_id, self._fleet.now)
 
-    def _go(self) -> None:
-        fleet, sending = self._fleet, self._sending
-        assert sending is not None
+    def _send_to_engine(self) -> None:
+        fleet, decision = self._fleet, self._decision
+        assert decision is not None
         self._outcome.sends += 1
-        self._outcome.readers = (sending.leader, *sending.helpers)
-        self._outcome.predicted = sending.predicted_seconds
-        self._tried.add(sending.leader)
-        engine = fleet.engines[sending.leader]
-        fleet.after(self._get_way(engine) + HANDSHAKE_SECONDS, self._reach)
+        self._outcome.prefill_engines = (decision.leader, *decision.helpers)
+        self._outcome.predicted_seconds = decision.predicted_seconds
+        self._tried.add(decision.leader)
+        engine = fleet.engines[decision.leader]
+        fleet.call_later(self._get_delay(engine) + HANDSHAKE_SECONDS, self._arrive)
 
-    def _get_way(self, engine: EngineNode) -> float:
+    def _get_delay(self, engine: EngineNode) -> float:
         return (
             self._fleet.site.get_delay(self._host.zone, engine.zone)
-            + HANDLING_SECONDS / 2
+            + PROCESSING_SECONDS / 2
         )
 
-    def _reach(self) -> None:
-        fleet, arrival, sending = self._fleet, self._outcome.arrival, self._sending
-        assert sending is not None
-        engine, site = fleet.engines[sending.leader], fleet.site
-        answer = arrival.events * site.event_tokens
-        apart = sum(sending.tickets.values())
-        is_too_large = arrival.prompt_tokens + answer - apart > site.sizes.memory_tokens
-        helpers = [fleet.engines[name] for name in sending.helpers]
+    def _arrive(self) -> None:
+        fleet, arrival, decision = self._fleet, self._outcome.arrival, self._decision
+        assert decision is not None
+        engine, site = fleet.engines[decision.leader], fleet.site
+        output_tokens = arrival.events * site.event_tokens
+        reserved_total = sum(decision.reserved_tokens.values())
+        is_too_large = (
+            arrival.prompt_tokens + output_tokens - reserved_total
+            > site.sizes.memory_tokens
+        )
+        helpers = [fleet.engines[name] for name in decision.helpers]
         is_full = len(engine.engine.waiting) >= site.queue
-        if is_too_large or is_full or any(h.parts >= site.sizes.slots for h in helpers):
-            fleet.after(self._get_way(engine), self._turned_away)
+        if (
+            is_too_large
+            or is_full
+            or any(h.part_count >= site.sizes.slots for h in helpers)
+        ):
+            fleet.call_later(self._get_delay(engine), self._handle_refusal)
             return
-        readers = len(helpers) + 1
-        part = -(-arrival.prompt_tokens // readers)
+        engine_count = len(helpers) + 1
+        part_tokens = -(-arrival.prompt_tokens // engine_count)
         self._work = PassWork(
             str(arrival.number),
             arrival.prompt_tokens,
-            answer,
-            part_tokens=part,
+            output_tokens,
+            part_tokens=part_tokens,
             waits_for=len(helpers),
             hop_ms=site.sizes.hop_ms if helpers else 0.0,
-            # The first engine holds what its helpers read and hold no ticket for.
-            ticket_tokens=part - arrival.prompt_tokens + apart,
+            # The leader holds the parts of helpers that have no reservation.
+            ticket_tokens=part_tokens - arrival.prompt_tokens + reserved_total,
+        )
+        request = EngineRequest(
+            self._work, self._handle_event, self._handle_end, arrival.events
         )
-        run = Run(self._work, self._note_event, self._note_end, arrival.events)
-        engine.add(run, fleet.now)
+        engine.add(request, fleet.now)
         for helper in helpers:
-            fleet.after(
+            fleet.call_later(
                 site.get_delay(engine.zone, helper.zone),
-                self._make_part(helper, engine, part),
+                self._make_part(helper, engine, part_tokens),
             )
-        fleet.after(self._get_patience(), self._check_patience)
+        fleet.call_later(self._get_caller_timeout(), self._check_caller_timeout)
 
     def _make_part(
         self, helper: EngineNode, engine: EngineNode, tokens: int
@@ -206,94 +215,107 @@
         )
         delay = self._fleet.site.get_delay(engine.zone, helper.zone)
 
-        holds = self._sending is not None and helper.name in self._sending.tickets
+        is_retained = (
+            self._decision is not None and helper.name in self._decision.reserved_tokens
+        )
 
         def begin() -> None:
             if not self._has_ended:
                 self._parts.append((helper, work))
-                helper.add_part(work, holds, told, self._fleet.now)
-
-        def told() -> None:
-            self._fleet.after(delay, read)
-
-        def read() -> None:
-            own = self._work
-            assert own is not None
-            own.waits_for -= 1
-            if own.is_read and not own.waits_for and not self._has_ended:
-                engine.give_first(own, self._fleet.now)
-                engine.wake(self._fleet.now)
+                helper.add_part(work, is_retained, send_back, self._fleet.now)
+
+        def send_back() -> None:
+            self._fleet.call_later(delay, receive_part)
+
+        def receive_part() -> None:
+            leader_work = self._work
+            assert leader_work is not None
+            leader_work.waits_for -= 1
+            if (
+                leader_work.is_read
+                and not leader_work.waits_for
+                and not self._has_ended
+            ):
+                engine.emit_first_event(leader_work, self._fleet.now)
+                engine.resume(self._fleet.now)
 
         return begin
 
-    def _turned_away(self) -> None:
-        assert self._sending is not None
-        self._release(self._sending)
-        self._host.policy.end(self._sending)
+    def _handle_refusal(self) -> None:
+        assert self._decision is not None
+        self._release(self._decision)
+        self._host.policy.end(self._decision)
         self.send()
 
-    def _note_event(self, now: float) -> None:
+    def _handle_event(self, now: float) -> None:
         outcome, site = self._outcome, self._fleet.site
-        assert self._sending is not None
-        engine = self._fleet.engines[self._sending.leader]
-        way = self._get_way(engine)
-        if outcome.first is None:
-            outcome.first = now + way + site.client_seconds - outcome.arrival.at
+        assert self._decision is not None
+        engine = self._fleet.engines[self._decision.leader]
+        delay = self._get_delay(engine)
+        if outcome.first_event_seconds is None:
+            outcome.first_event_seconds = (
+                now + delay + site.client_seconds - outcome.arrival.at
+            )
             requests = engine.requests
-            self._fleet.after(way, lambda: self._hear_first(engine.name, requests))
+            self._fleet.call_later(
+                delay, lambda: self._receive_first_event(engine.name, requests)
+            )
         else:
-            pause = now - outcome.last_event
-            outcome.worst_pause = max(outcome.worst_pause, pause)
-            self._note_pass(engine.name, pause)
-        outcome.last_event = now
-
-    def _note_pass(self, engine: str, pause: float) -> None:
-        sending, book = self._sending, self._host.policy.book
-        if sending is not None and sending.pass_seconds and book is not None:
-            book.record_pass(engine, pause / sending.pass_seconds, self._fleet.now)
-
-    def _hear_first(self, engine: str, requests: int) -> None:
-        assert self._sending is not None
-        self._outcome.heard = self._fleet.now - self._outcome.placed_at
-        if self._sending.work is not None:
-            self._sending.work.first_event_at = self._fleet.now
-        book = self._host.policy.book
-        if book is not None and self._fleet.hears_counts:
-            book.record_request_count(engine, requests, self._fleet.now)
-
-    def _note_end(self, now: float) -> None:
-        self._outcome.is_whole = self._has_ended = True
-        self._free()
-
-    def _free(self) -> None:
-        assert self._sending is not None
-        sending = self._sending
-        way = self._get_way(self._fleet.engines[sending.leader])
-        self._release(sending)
+            pause = now - outcome.last_event_at
+            outcome.longest_pause = max(outcome.longest_pause, pause)
+            self._record_pass(engine.name, pause)
+        outcome.last_event_at = now
+
+    def _record_pass(self, engine: str, pause: float) -> None:
+        decision, usage = self._decision, self._host.policy.usage
+        if decision is not None and decision.pass_seconds and usage is not None:
+            usage.record_pass(engine, pause / decision.pass_seconds, self._fleet.now)
+
+    def _receive_first_event(self, engine: str, requests: int) -> None:
+        assert self._decision is not None
+        self._outcome.observed_seconds = self._fleet.now - self._outcome.placed_at
+        if self._decision.work is not None:
+            self._decision.work.first_event_at = self._fleet.now
+        usage = self._host.policy.usage
+        if usage is not None and self._fleet.receives_request_counts:
+            usage.record_request_count(engine, requests, self._fleet.now)
+
+    def _handle_end(self, now: float) -> None:
+        self._outcome.is_complete = self._has_ended = True
+        self._release_all()
+
+    def _release_all(self) -> None:
+        assert self._decision is not None
+        decision = self._decision
+        delay = self._get_delay(self._fleet.engines[decision.leader])
+        self._release(decision)
         for helper, work in self._parts:
             helper.remove(work)
-        self._fleet.after(way, lambda: self._host.policy.end(sending))
+        self._fleet.call_later(delay, lambda: self._host.policy.end(decision))
 
-    # A caller leaves after a long gap, and at its deadline.
+    # A caller leaves after a long gap between events, and at its deadline.
 
-    def _get_patience(self) -> float:
+    def _get_caller_timeout(self) -> float:
         kind = self._kind
-        aims = LEAVE_AIMS * kind.aim_ms, LEAVE_PAUSES * kind.pause_aim_ms
-        return max(MIN_LEAVE_SECONDS, *(aim / 1_000 for aim in aims))
+        aims = (
+            CALLER_TIMEOUT_AIMS * kind.aim_ms,
+            CALLER_TIMEOUT_PAUSES * kind.pause_aim_ms,
+        )
+        return max(MIN_CALLER_TIMEOUT_SECONDS, *(aim / 1_000 for aim in aims))
 
-    def _check_patience(self) -> None:
+    def _check_caller_timeout(self) -> None:
         if self._has_ended:
             return
         outcome, fleet = self._outcome, self._fleet
-        since = outcome.last_event or outcome.arrival.at
-        gone_at = min(
-            since + self._get_patience(),
+        since = outcome.last_event_at or outcome.arrival.at
+        timeout_at = min(
+            since + self._get_caller_timeout(),
             outcome.arrival.at + self._kind.deadline_ms / 1_000,
         )
-        if fleet.now < gone_at:
-            fleet.after(gone_at - fleet.now, self._check_patience)
+        if fleet.now < timeout_at:
+            fleet.call_later(timeout_at - fleet.now, self._check_caller_timeout)
             return
         self._has_ended = True
-        assert self._sending is not None and self._work is not None
-        fleet.engines[self._sending.leader].remove(self._work)
-        self._free()
+        assert self._decision is not None and self._work is not None
+        fleet.engines[self._decision.leader].remove(self._work)
+        self._release_all()
--- a/libraries/bench/tarragonward_bench/experiment/report.py
+++ b/libraries/bench/tarragonward_bench/experiment/report.py
@@ -1,4 +1,4 @@
-"""Work out and print what a run of `script/experiment` showed."""
+"""Compute and print the results of `script/experiment`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from ..lengths.report import compute_quantile
 from .arrivals import Outcome, compute_size
-from .fleet import Played
+from .fleet import PolicyRun
 from .site import PromptKind, Site
 
 __all__ = [
@@ -21,7 +21,7 @@
     "print_changes",
     "print_policies",
     "print_predictions",
-    "summarise",
+    "summarize",
 ]
 
 BASE_WORTH = 0.3
@@ -36,50 +36,50 @@
 
 @dataclass(frozen=True)
 class KindFigures:
-    """What one kind of requests got; shares from 0 to 1, times in seconds.
+    """The results of one kind of request; shares from 0 to 1, times in seconds.
 
-    A request without a first event counts with its whole deadline in the times.
+    A request without a first event counts with its full deadline in the times.
     """
 
-    asked: int
+    request_count: int
     in_aim: float
     worth: float
-    first: tuple[float, ...]
-    worst_pause: float
+    first_event_seconds: tuple[float, ...]
+    longest_pause: float
 
 
 def compute_worth(outcome: Outcome, factor: float) -> tuple[float, float]:
-    """Return what a request earned, and what it could have earned."""
+    """Return the worth that a request earned, and the most it could have earned."""
     kind = outcome.arrival.kind
-    owed = kind.worth * factor
-    if not outcome.is_whole or outcome.first is None:
-        return 0.0, owed
+    possible = kind.worth * factor
+    if not outcome.is_complete or outcome.first_event_seconds is None:
+        return 0.0, possible
     if _is_in_aim(outcome):
-        return owed, owed
-    return kind.late_worth * factor, owed
+        return possible, possible
+    return kind.late_worth * factor, possible
 
 
-def summarise(site: Site, outcomes: Sequence[Outcome]) -> dict[str, KindFigures]:
-    """Return the figures by kind, and of all together."""
+def summarize(site: Site, outcomes: Sequence[Outcome]) -> dict[str, KindFigures]:
+    """Return the figures of each kind and of all requests."""
     by_kind: dict[str, list[tuple[Outcome, float]]] = defaultdict(list)
-    for outcome, factor in _weigh(site, outcomes):
+    for outcome, factor in _compute_factors(site, outcomes):
         by_kind[outcome.arrival.kind.name].append((outcome, factor))
         by_kind[ALL].append((outcome, factor))
     names = [kind.name for kind in (*site.prompts, *site.calls)]
     return {
-        name: _summarise_kind(by_kind[name]) for name in (*names, ALL) if by_kind[name]
+        name: _summarize_kind(by_kind[name]) for name in (*names, ALL) if by_kind[name]
     }
 
 
-def print_policies(site: Site, plays: Sequence[Played]) -> None:
-    """Print a table a kind of request: a line a policy, means over the seeds."""
+def print_policies(site: Site, runs: Sequence[PolicyRun]) -> None:
+    """Print a table per kind of request: a line per policy, means over the seeds."""
     figures: dict[str, dict[str, list[KindFigures]]] = defaultdict(dict)
     speeds: dict[str, list[float]] = defaultdict(list)
-    for played in plays:
-        for kind, one in summarise(site, played.outcomes).items():
-            figures[kind].setdefault(played.policy, []).append(one)
-        if played.decision_seconds:
-            speeds[played.policy].append(played.decisions / played.decision_seconds)
+    for run in runs:
+        for kind, kind_figures in summarize(site, run.outcomes).items():
+            figures[kind].setdefault(run.policy, []).append(kind_figures)
+        if run.decision_seconds:
+            speeds[run.policy].append(run.decisions / run.decision_seconds)
     for kind, policies in figures.items():
         print(f"\n{site.name}, {kind}")
         print(
@@ -88,26 +88,26 @@
         )
         for policy, seeds in policies.items():
             print(_format_line(policy, seeds))
-    print_changes(site, plays)
-    print_predictions(plays)
+    print_changes(site, runs)
+    print_predictions(runs)
     print("\ndecisions a second of one host's processor")
     for policy, values in speeds.items():
         print(f"{policy:20}{statistics.mean(values):9.0f}")
 
 
-def print_changes(site: Site, plays: Sequence[Played]) -> None:
-    """Print what each policy changes against the first one, seed by seed.
+def print_changes(site: Site, runs: Sequence[PolicyRun]) -> None:
+    """Print the difference of each policy from the first one, paired by seed.
 
-    All policies of a seed play the same arrivals, so the spread of their differences
-    is far smaller than that of the seeds.
+    All policies of a seed get the same arrivals, so the paired differences vary far
+    less than the results of different seeds.
     """
     by_policy: dict[str, dict[int, dict[str, KindFigures]]] = defaultdict(dict)
-    for played in plays:
-        by_policy[played.policy][played.seed] = summarise(site, played.outcomes)
-    first, *others = by_policy
-    if not others or len(by_policy[first]) < 2:
+    for run in runs:
+        by_policy[run.policy][run.seed] = summarize(site, run.outcomes)
+    baseline, *others = by_policy
+    if not others or len(by_policy[baseline]) < 2:
         return
-    print(f"\nagainst {first}, by seed: mean change +- its standard error")
+    print(f"\nagainst {baseline}, by seed: mean change +- its standard error")
     names = [kind.name for kind in site.prompts] + [ALL]
     print(f"{'policy':20}{'':8}" + "".join(f"{name:>20}" for name in names))
     for policy in others:
@@ -117,7 +117,7 @@
                 changes = [
                     getattr(by_policy[policy][seed][name], field)
                     - getattr(figures[name], field)
-                    for seed, figures in by_policy[first].items()
+                    for seed, figures in by_policy[baseline].items()
                     if name in figures
                 ]
                 line += f"{_format_change(changes):>20}"
@@ -131,16 +131,16 @@
     return f"{statistics.mean(changes):+.3f} +- {error:.3f}"
 
 
-def print_predictions(plays: Sequence[Played]) -> None:
-    """Print how far first events came from their predicted times, in milliseconds."""
+def print_predictions(runs: Sequence[PolicyRun]) -> None:
+    """Print the prediction errors of first events, in milliseconds."""
     errors: dict[tuple[str, str], list[float]] = defaultdict(list)
-    for played in plays:
-        for outcome in played.outcomes:
-            if outcome.predicted is None or outcome.heard is None:
+    for run in runs:
+        for outcome in run.outcomes:
+            if outcome.predicted_seconds is None or outcome.observed_seconds is None:
                 continue
             length = get_length_class(outcome.arrival.prompt_tokens)
-            error = outcome.heard - outcome.predicted
-            errors[played.policy, length].append(error * MILLISECONDS)
+            error = outcome.observed_seconds - outcome.predicted_seconds
+            errors[run.policy, length].append(error * MILLISECONDS)
     if not errors:
         return
     print("\nfirst event, seen less predicted, ms")
@@ -155,7 +155,9 @@
         )
 
 
-def _weigh(site: Site, outcomes: Sequence[Outcome]) -> list[tuple[Outcome, float]]:
+def _compute_factors(
+    site: Site, outcomes: Sequence[Outcome]
+) -> list[tuple[Outcome, float]]:
     sizes: dict[str, list[float]] = defaultdict(list)
     for outcome in outcomes:
         sizes[outcome.arrival.kind.name].append(_get_size(site, outcome))
@@ -180,28 +182,32 @@
 
 def _is_in_aim(outcome: Outcome) -> bool:
     kind = outcome.arrival.kind
-    if outcome.first is None or not outcome.is_whole:
+    if outcome.first_event_seconds is None or not outcome.is_complete:
         return False
-    if outcome.first > kind.aim_ms / 1_000:
+    if outcome.first_event_seconds > kind.aim_ms / 1_000:
         return False
     is_prompt = isinstance(kind, PromptKind)
-    return not is_prompt or outcome.worst_pause <= kind.pause_aim_ms / 1_000
+    return not is_prompt or outcome.longest_pause <= kind.pause_aim_ms / 1_000
 
 
-def _summarise_kind(pairs: list[tuple[Outcome, float]]) -> KindFigures:
-    earned = owed = 0.0
+def _summarize_kind(pairs: list[tuple[Outcome, float]]) -> KindFigures:
+    earned = possible = 0.0
     times = []
     for outcome, factor in pairs:
-        got, could = compute_worth(outcome, factor)
-        earned, owed = earned + got, owed + could
+        earned_worth, possible_worth = compute_worth(outcome, factor)
+        earned, possible = earned + earned_worth, possible + possible_worth
         deadline = outcome.arrival.kind.deadline_ms / 1_000
-        times.append(deadline if outcome.first is None else outcome.first)
+        times.append(
+            deadline
+            if outcome.first_event_seconds is None
+            else outcome.first_event_seconds
+        )
     return KindFigures(
-        asked=len(pairs),
+        request_count=len(pairs),
         in_aim=sum(_is_in_aim(outcome) for outcome, _ in pairs) / len(pairs),
-        worth=earned / owed,
-        first=tuple(compute_quantile(times, q) for q in QUANTILES),
-        worst_pause=max(outcome.worst_pause for outcome, _ in pairs),
+        worth=earned / possible,
+        first_event_seconds=tuple(compute_quantile(times, q) for q in QUANTILES),
+        longest_pause=max(outcome.longest_pause for outcome, _ in pairs),
     )
 
 
@@ -209,12 +215,14 @@
     def mean(values: Iterable[float]) -> float:
         return statistics.mean(list(values))
 
-    worths = [one.worth for one in seeds]
+    worths = [f.worth for f in seeds]
     spread = statistics.stdev(worths) if len(worths) > 1 else math.nan
-    quantiles = [mean(one.first[n] for one in seeds) for n in range(len(QUANTILES))]
+    quantiles = [
+        mean(f.first_event_seconds[n] for f in seeds) for n in range(len(QUANTILES))
+    ]
     return (
-        f"{policy:20}{mean(one.asked for one in seeds):7.0f}"
-        f"{mean(one.in_aim for one in seeds):8.3f}{mean(worths):8.3f}{spread:7.3f}"
+        f"{policy:20}{mean(f.request_count for f in seeds):7.0f}"
+        f"{mean(f.in_aim for f in seeds):8.3f}{mean(worths):8.3f}{spread:7.3f}"
         + "".join(f"{value:8.3f}" for value in quantiles)
-        + f"{max(one.worst_pause for one in seeds):9.3f}"
+        + f"{max(f.longest_pause for f in seeds):9.3f}"
     )
--- a/libraries/bench/tarragonward_bench/experiment/site.py
+++ b/libraries/bench/tarragonward_bench/experiment/site.py
@@ -1,4 +1,4 @@
-"""Read what the experiment tool plays: zones, engines, kinds of requests, turns."""
+"""Read the settings of a simulated site: zones, engines, traffic and load phases."""
 
 from __future__ import annotations
 
@@ -10,7 +10,15 @@
 from tarragonward_routes import EngineModel
 from tarragonward_standins.platform_engine import PassSizes
 
-__all__ = ["CallKind", "PromptKind", "Site", "Turn", "Zone", "read_site", "scale_site"]
+__all__ = [
+    "CallKind",
+    "LoadPhase",
+    "PromptKind",
+    "Site",
+    "Zone",
+    "read_site",
+    "scale_site",
+]
 
 MILLISECONDS = 1_000.0
 THOUSAND = 1_000.0
@@ -19,9 +27,10 @@
 
 @dataclass(frozen=True)
 class Zone:
-    """A failure domain; weight is its share of what all clients ask.
+    """A failure domain; weight is its share of the traffic of all clients.
 
-    Few clients a host are spread more unevenly over hosts; 0 stands for ten a host.
+    The fewer clients per host, the more uneven their spread over hosts; 0 means the
+    default number per host.
     """
 
     name: str
@@ -33,7 +42,7 @@
 
 @dataclass(frozen=True)
 class PromptKind:
-    """A kind of prompts; times in ms, rate a second over the whole site."""
+    """A kind of prompt; times in ms, rate per second over the whole site."""
 
     name: str
     per_s: float
@@ -52,7 +61,7 @@
 
 @dataclass(frozen=True)
 class CallKind:
-    """A kind of calls to the plain service; failed_share of them fail by themselves."""
+    """A kind of call to the plain service; failed_share of the sends fail."""
 
     name: str
     per_s: float
@@ -67,8 +76,8 @@
 
 
 @dataclass(frozen=True)
-class Turn:
-    """A span in which kinds come more or less often than usual."""
+class LoadPhase:
+    """A period in which kinds of requests arrive more or less often than usual."""
 
     at_s: float
     for_s: float
@@ -77,13 +86,13 @@
 
 @dataclass(frozen=True)
 class Site:
-    """A deployment as it is played."""
+    """A deployment to simulate."""
 
     name: str
     zones: tuple[Zone, ...]
     prompts: tuple[PromptKind, ...]
     calls: tuple[CallKind, ...]
-    turns: tuple[Turn, ...]
+    load_phases: tuple[LoadPhase, ...]
     sizes: PassSizes
     queue: int
     event_tokens: int
@@ -105,11 +114,11 @@
         return sum(zone.engines for zone in self.zones)
 
     def get_delay(self, one: str, other: str) -> float:
-        """Return the seconds one way between two failure domains."""
+        """Return the one-way delay between two failure domains in seconds."""
         return self.in_zone_seconds if one == other else self.cross_zone_seconds
 
     def build_engine_model(self) -> EngineModel:
-        """Return the constants as the product's decisions take them."""
+        """Return the engine model that the product's placement uses."""
         sizes = self.sizes
         return EngineModel(
             slots=sizes.slots,
@@ -127,22 +136,22 @@
 
 
 def read_site(path: Path) -> Site:
-    """Read a settings file of a site; raise KeyError or TypeError where it is wrong."""
+    """Read a site's settings file; raise KeyError or TypeError if it is invalid."""
     data = tomllib.loads(path.read_text())
     engine = dict(data["engine"])
     queue, event_tokens = engine.pop("queue"), engine.pop("event_tokens")
-    lag = engine.pop("report_lag_ms") / MILLISECONDS
+    lag_seconds = engine.pop("report_lag_ms") / MILLISECONDS
     calls = data.get("call_service", {"targets": 0, "slots": 0})
     return Site(
         name=data["name"],
         zones=_read_all(Zone, data["zones"]),
         prompts=_read_all(PromptKind, data["prompts"]),
         calls=_read_all(CallKind, data.get("calls", [])),
-        turns=_read_all(Turn, data.get("turns", [])),
+        load_phases=_read_all(LoadPhase, data.get("turns", [])),
         sizes=PassSizes(**engine),
         queue=queue,
         event_tokens=event_tokens,
-        report_lag_seconds=lag,
+        report_lag_seconds=lag_seconds,
         call_targets=calls["targets"],
         call_slots=calls["slots"],
         client_seconds=data["client_ms"] / MILLISECONDS,
@@ -152,20 +161,20 @@
 
 
 def scale_site(site: Site, hosts: int, engines: int = 0, load: float = 1.0) -> Site:
-    """Return the site with so many hosts; engines and rates grow with the engines.
+    """Return the site with the given hosts; rates are scaled with the engines and load.
 
-    Where engines is 0 they keep their number a host.
+    If engines is 0, the number of engines per host stays the same.
     """
     engines = engines or round(site.engines * hosts / site.hosts)
     factor = engines / site.engines
-    whole = len(site.zones)
+    zone_count = len(site.zones)
     zones = tuple(
         replace(
             zone,
-            hosts=hosts // whole + (place < hosts % whole),
-            engines=engines // whole + (place < engines % whole),
+            hosts=hosts // zone_count + (index < hosts % zone_count),
+            engines=engines // zone_count + (index < engines % zone_count),
         )
-        for place, zone in enumerate(site.zones)
+        for index, zone in enumerate(site.zones)
     )
     scaled = factor * load
     return replace(
