--- a/libraries/daemon/tarragonward_daemon/gossip.py
+++ b/libraries/daemon/tarragonward_daemon/gossip.py
@@ -133,28 +133,28 @@
 
 
 @singledispatch
-def _apply(effect: Effect, gossip: GossipTransport) -> None:
+def _apply(effect: Effect, transport: GossipTransport) -> None:
     raise TypeError(f"unknown effect: {effect!r}")
 
 
 @_apply.register
-def _(effect: SendProbe, gossip: GossipTransport) -> None:
-    gossip._start(gossip._async_probe(effect))
+def _(effect: SendProbe, transport: GossipTransport) -> None:
+    transport._start(transport._async_probe(effect))
 
 
 @_apply.register
-def _(effect: RequestIndirectProbe, gossip: GossipTransport) -> None:
-    gossip._start(gossip._async_request_indirect_probe(effect))
+def _(effect: RequestIndirectProbe, transport: GossipTransport) -> None:
+    transport._start(transport._async_request_indirect_probe(effect))
 
 
 @_apply.register
-def _(effect: PeerHasNewerConfiguration, gossip: GossipTransport) -> None:
-    for callback in gossip.peer_ahead_callbacks:
+def _(effect: PeerHasNewerConfiguration, transport: GossipTransport) -> None:
+    for callback in transport.peer_ahead_callbacks:
         callback(effect.address, effect.configuration_sequence)
 
 
 @_apply.register
-def _(effect: MemberChanged, gossip: GossipTransport) -> None:
+def _(effect: MemberChanged, transport: GossipTransport) -> None:
     log_event(
         "member_changed",
         address=effect.address,
--- a/libraries/daemon/tarragonward_daemon/loads.py
+++ b/libraries/daemon/tarragonward_daemon/loads.py
@@ -55,11 +55,11 @@
             for name in orders
             if configuration.targets[name].failure_domain == engine.failure_domain
         ]
-        done: set[str] = set()
-        occupying: set[str] = set()
+        without_slot: set[str] = set()
+        with_slot: set[str] = set()
         while True:
-            chosen = choose_loads(pending, self._loaded | done, limit)
-            unchecked = [name for name in chosen if name not in occupying]
+            chosen = choose_loads(pending, self._loaded | without_slot, limit)
+            unchecked = [name for name in chosen if name not in with_slot]
             if engine.name in chosen or not unchecked:
                 return engine.name in chosen
             reads = [
@@ -68,7 +68,7 @@
             for name, occupies in zip(
                 unchecked, await asyncio.gather(*reads), strict=True
             ):
-                (occupying if occupies else done).add(name)
+                (with_slot if occupies else without_slot).add(name)
 
     async def _async_occupies_slot(self, name: str, order: EngineOrder) -> bool:
         """Return whether an engine occupies a slot; record it if it has loaded."""
