--- a/libraries/daemon/tests/test_configuration_peers.py
+++ b/libraries/daemon/tests/test_configuration_peers.py
@@ -64,7 +64,7 @@
     assert len(second) == 5
 
 
-def test_two_hosts_watch_an_engine_and_one_remains_if_views_differ():
+def test_two_hosts_watch_an_engine_and_differing_views_share_one():
     hosts = get_addresses(make_members(20))
     assert len(choose_watchers("engine-1", hosts)) == 2
     one, other = (choose_watchers("engine-1", hosts[n:]) for n in (0, 1))
