--- a/libraries/bench/tarragonward_bench/__init__.py
+++ b/libraries/bench/tarragonward_bench/__init__.py
@@ -1,1 +1,1 @@
-"""The demo, the measurements and the long randomised runs; no part of the product."""
+"""Demo, benchmarks and randomised simulations; not part of the deployed system."""
--- a/libraries/bench/tarragonward_bench/callers.py
+++ b/libraries/bench/tarragonward_bench/callers.py
@@ -1,4 +1,4 @@
-"""Call a site as callers behind a balancer do, and judge how each request ended."""
+"""Send requests through a health-checking load balancer and classify the outcomes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 CHECK_SECONDS = 0.25
 CHECK_TIMEOUT_SECONDS = 0.5
 FIRST_BACKOFF_SECONDS = 0.3
-REPEATABLE = (Repeat.AFTER_DELAY, Repeat.SAME_KEY)
+REPEATABLE_ADVICE = (Repeat.AFTER_DELAY, Repeat.SAME_KEY)
 
 
 class Balancer:
-    """Send each request to a host whose last health check passed."""
+    """Load balancer that picks among hosts whose last health check passed."""
 
     def __init__(self, site: Site, choices: random.Random) -> None:
         self._site = site
@@ -38,7 +38,7 @@
         self._healthy = set(site.hosts)
 
     async def async_check(self) -> None:
-        """Check all hosts again and again."""
+        """Check the health of all hosts periodically until cancelled."""
         while True:
             await asyncio.gather(
                 *(self._async_check(name) for name in self._site.hosts)
@@ -59,14 +59,14 @@
             self._healthy.discard(name)
 
     def pick(self, tried: set[str]) -> SiteHost:
-        """Return a healthy host, one that was not tried yet where there is one."""
+        """Return a healthy host, preferably one that has not been tried."""
         names = sorted(self._healthy - tried) or sorted(self._healthy)
         return self._site.hosts[self._choices.choice(names or sorted(self._site.hosts))]
 
 
 @dataclass(frozen=True)
 class CallEnd:
-    """How a call ended; conclusion is what its caller was told last."""
+    """Outcome of a call; conclusion is the one in the last answer to its caller."""
 
     key: str
     outcome: Outcome
@@ -75,7 +75,7 @@
 
 
 class Caller:
-    """One client account's callers; they repeat what the answers allow them to."""
+    """Caller of one client account that repeats requests where the answer allows it."""
 
     def __init__(self, site: Site, balancer: Balancer, account: str) -> None:
         self._site = site
@@ -85,25 +85,25 @@
     async def async_complete(
         self, prompt: str, max_tokens: int, time_limit: float
     ) -> CompletionResult:
-        """Ask hosts for a whole answer until the time limit is over."""
+        """Request a completion; retry other hosts until the time limit expires."""
         loop = asyncio.get_running_loop()
         started, tried = loop.time(), set()
         wait = FIRST_BACKOFF_SECONDS
         while True:
             host = self._balancer.pick(tried)
             tried.add(host.name)
-            began = loop.time()
+            attempt_started = loop.time()
             result = await async_complete(
                 host.callers,
                 self._token,
                 self._site.plan.model,
                 prompt,
                 max_tokens,
-                time_limit - (began - started),
+                time_limit - (attempt_started - started),
             )
             wait = max(wait, result.retry_after_seconds)
-            left = time_limit - (loop.time() - started)
-            if not _may_repeat(result) or left <= wait:
+            remaining = time_limit - (loop.time() - started)
+            if not _may_repeat(result) or remaining <= wait:
                 break
             await asyncio.sleep(wait)
             wait *= 2
@@ -111,11 +111,11 @@
         return replace(
             result,
             seconds=loop.time() - started,
-            ttft_seconds=None if ttft is None else ttft + began - started,
+            ttft_seconds=None if ttft is None else ttft + attempt_started - started,
         )
 
     async def async_call(self, body: bytes, part: str, time_limit: float) -> CallEnd:
-        """Make one call, repeat it until its end is known, and once more after that."""
+        """Make a call and repeat it until its outcome is known, then once more."""
         loop = asyncio.get_running_loop()
         give_up_at = loop.time() + time_limit
         tried: set[str] = set()
@@ -124,24 +124,24 @@
                 key = f"{await self._async_get_prefix(tried)}.{part}"
         except TimeoutError:
             return CallEnd("", Outcome.FAILED_IN_TIME, Conclusion.NOT_RUN, "no prefix")
-        result, may_have_run = None, False
+        result, has_attempted = None, False
         while loop.time() < give_up_at:
             result = await self._async_send(body, key, tried, give_up_at - loop.time())
             if result is not None and result.code == ResultCode.OK.number:
                 return await self._async_repeat(body, key, tried, result)
             code = None if result is None else ResultCode.from_number(result.code)
             if code is not None and code.conclusion is Conclusion.NOT_RUN:
-                if code.repeat not in REPEATABLE or not may_have_run:
+                if code.repeat not in REPEATABLE_ADVICE or not has_attempted:
                     break
-            may_have_run = True
+            has_attempted = True
             await asyncio.sleep(min(FIRST_BACKOFF_SECONDS, give_up_at - loop.time()))
-        return self._judge_failed(key, result, loop.time() - give_up_at)
+        return self._build_failed_end(key, result, loop.time() - give_up_at)
 
-    def _judge_failed(
+    def _build_failed_end(
         self, key: str, result: CallResult | None, late_by: float
     ) -> CallEnd:
-        late = late_by > LATE_MARGIN_SECONDS
-        outcome = Outcome.LATE if late else Outcome.FAILED_IN_TIME
+        is_late = late_by > LATE_MARGIN_SECONDS
+        outcome = Outcome.LATE if is_late else Outcome.FAILED_IN_TIME
         if result is None:
             return CallEnd(key, outcome, Conclusion.UNKNOWN, "no answer")
         code = ResultCode.from_number(result.code)
@@ -169,7 +169,10 @@
     async def _async_repeat(
         self, body: bytes, key: str, tried: set[str], first: CallResult
     ) -> CallEnd:
-        """Repeat a call that ran through one more host: the same bytes, or unknown."""
+        """Repeat a completed call through another host.
+
+        The answer must have the same bytes, unless it is an error.
+        """
         repeat = await self._async_send(body, key, tried, 5.0)
         is_own = compute_body_hash(body).encode() in first.body
         is_ok = repeat is not None and repeat.code == ResultCode.OK.number
@@ -181,7 +184,7 @@
 def _may_repeat(result: CompletionResult) -> bool:
     if result.outcome is not Outcome.FAILED_IN_TIME:
         return False
-    # No code: the connection was lost. A model request may always be sent again.
+    # No result code: the connection was lost. Model requests are idempotent.
     if not result.code:
         return True
-    return ResultCode.from_number(result.code).repeat in REPEATABLE
+    return ResultCode.from_number(result.code).repeat in REPEATABLE_ADVICE
--- a/libraries/bench/tarragonward_bench/days/ablation.py
+++ b/libraries/bench/tarragonward_bench/days/ablation.py
@@ -1,4 +1,4 @@
-"""Play days with mechanisms off, or of other commits, beside the code as it is."""
+"""Ablation study: play days with mechanisms disabled, or at other commits."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 ROOT = Path(__file__).resolve().parents[4]
 TABLE = ROOT / "docs" / "ablations.toml"
 REFERENCE = "main"
-# Fewer than the processors, so that no day is given up as the machine is busy.
+# Fewer than the CPUs: on an overloaded machine a day can exceed its time-out.
 DEFAULT_JOBS = 4
 
 
 def main() -> int:
-    """Run one of the jobs; return the exit status."""
+    """Run the selected job; return the exit status."""
     options = _parse_options()
     plays = read_plays(options.out)
     if options.job == "play":
@@ -44,24 +44,33 @@
     parser = argparse.ArgumentParser(prog="script/ablate", description=__doc__)
     parser.add_argument("job", choices=("play", "table"))
     parser.add_argument("site", nargs="*", type=Path, help="site files, for play")
-    parser.add_argument("--bench", help="the program of the users' bench")
-    parser.add_argument("--table", type=Path, default=TABLE, help="of mechanisms")
-    parser.add_argument("--only", action="append", help="this variant of the table")
+    parser.add_argument("--bench", help="the users' benchmark program")
+    parser.add_argument("--table", type=Path, default=TABLE, help="table of variants")
+    parser.add_argument("--only", action="append", help="play only this variant")
     parser.add_argument(
-        "--ref", action="append", default=[], help="NAME=COMMIT, played as a variant"
+        "--ref",
+        action="append",
+        default=[],
+        help="play a commit as variant: NAME=COMMIT",
     )
-    parser.add_argument("--no-table", action="store_true", help="only what --ref names")
-    parser.add_argument("--day", action="append", help="only this day")
-    parser.add_argument("--seed", action="append", type=int, help="beside its own")
+    parser.add_argument(
+        "--no-table", action="store_true", help="play only the --ref variants"
+    )
+    parser.add_argument("--day", action="append", help="play only this day")
+    parser.add_argument("--seed", action="append", type=int, help="additional seed")
     parser.add_argument("--no-own-seed", action="store_true")
-    parser.add_argument("--cpu", action="store_true", help="charge processor time")
-    parser.add_argument("--why", default="pairs", help="for the journal")
+    parser.add_argument(
+        "--cpu", action="store_true", help="include CPU time in the cost"
+    )
+    parser.add_argument(
+        "--why", default="pairs", help="reason, recorded in the journal"
+    )
     parser.add_argument("--jobs", type=int, default=DEFAULT_JOBS)
     parser.add_argument("--scratch", type=Path, default=ROOT.parent / "ablate")
     parser.add_argument("--out", type=Path, default=ROOT.parent / "ablate.jsonl")
     parser.add_argument("--reference", default=REFERENCE)
-    parser.add_argument("--kind", help="a kind's share in aim in place of the worth")
-    parser.add_argument("--part", help="a part of the payoff in place of the worth")
+    parser.add_argument("--kind", help="compare a kind's in-aim share instead")
+    parser.add_argument("--part", help="compare a part of the payoff instead")
     return parser.parse_args()
 
 
@@ -91,13 +100,13 @@
     reports.mkdir(exist_ok=True)
     copies = {each.name: make_copy(ROOT, options.scratch, each) for each in variants}
     for copy in copies.values():
-        # Plays of one copy at a time must not all build it.
+        # Build now: concurrent plays of one copy would each build it.
         subprocess.run([options.bench, "build"], cwd=copy, capture_output=True)
     done = {
         (p.variant, p.commit, p.site, p.day, p.seed, p.is_processor_charged)
         for p in plays
     }
-    wanted = [
+    pending = [
         play
         for play in _list_plays(options, variants, copies)
         if (play.variant, play.commit, play.site.stem, play.day, play.seed, options.cpu)
@@ -109,19 +118,19 @@
         try:
             played = play_day(play, copies[play.variant], options.bench, why, reports)
         except (PlayError, subprocess.TimeoutExpired) as err:
-            print(f"no result: {err}", flush=True)
+            print(f"play failed: {err}", flush=True)
             return 1
         write_play(options.out, played)
-        told = " ".join(played.broken)
+        broken = " ".join(played.broken)
         print(
             f"{played.variant} {played.site} {played.day} {played.seed} "
-            f"{played.worth:.3f} {told}",
+            f"{played.worth:.3f} {broken}",
             flush=True,
         )
         return 0
 
     with ThreadPoolExecutor(options.jobs) as pool:
-        failures = sum(pool.map(run, wanted))
+        failures = sum(pool.map(run, pending))
     for copy in copies.values():
         copy_journal(copy, ROOT)
     return 1 if failures else 0
@@ -130,7 +139,7 @@
 def _list_plays(
     options: argparse.Namespace, variants: list[Variant], copies: dict[str, Path]
 ) -> list[DayPlay]:
-    """Return all plays, those of a day and seed one after the other."""
+    """Return all plays; those of the same seed, site and day are consecutive."""
     seeds: list[int | None] = [] if options.no_own_seed else [None]
     seeds += options.seed or []
     return [
--- a/libraries/bench/tarragonward_bench/days/bounds.py
+++ b/libraries/bench/tarragonward_bench/days/bounds.py
@@ -1,4 +1,4 @@
-"""Tell what of a day's losses no design could have saved from what a choice lost."""
+"""Separate losses that no placement could avoid from those due to a choice."""
 
 from __future__ import annotations
 
@@ -8,15 +8,22 @@
 from enum import Enum
 from typing import Any, Protocol
 
-__all__ = ["DayBound", "Outage", "Verdict", "bound_day", "find_outages", "print_bound"]
-
-# How the report tells that all hosts lose power or are killed, at the end of a day.
-CLOSING = "closing"
+__all__ = [
+    "DayBound",
+    "Outage",
+    "Verdict",
+    "compute_bound",
+    "find_outages",
+    "print_bound",
+]
+
+# Prefix of the report's events in which all hosts lose power or are killed.
+CLOSING_EVENT_PREFIX = "closing"
 WINDOW_SECONDS = 2
 
 
 class Verdict(Enum):
-    """What a request was lost to."""
+    """Why a request was lost."""
 
     NO_HOST = "no host is up"
     TARGET_FAILED = "its target failed it"
@@ -25,12 +32,12 @@
     CHOICE = "a poor choice"
 
     @property
-    def is_bound(self) -> bool:
-        """Return whether no design could have saved the request."""
+    def is_unavoidable(self) -> bool:
+        """Return whether the loss was unavoidable."""
         return self in (Verdict.NO_HOST, Verdict.TARGET_FAILED, Verdict.CALLER_LEFT)
 
 
-VERDICTS = {
+VERDICTS_BY_CAUSE = {
     "refused": Verdict.CHOICE,
     "failed by its target": Verdict.TARGET_FAILED,
     "out of reach": Verdict.NOT_KNOWN,
@@ -43,65 +50,72 @@
 }
 
 
-class Lost(Protocol):
-    """What is asked of a lost request; times in seconds of the day."""
+class LostRequestLike(Protocol):
+    """Attributes required of a lost request; times in seconds since the day began."""
 
     aim: float
 
     @property
     def kind(self) -> str:
-        """Return what tells its kind."""
+        """Return the kind of request."""
 
     @property
-    def asked_at(self) -> float:
-        """Return when its host took it."""
+    def received_at(self) -> float:
+        """Return when its host received it."""
 
 
 @dataclass(frozen=True)
 class Outage:
-    """A time without any host; seconds of the day."""
+    """Period without any running host, in seconds since the day began."""
 
     begins: float
     ends: float
 
-    def covers(self, asked_at: float, aim: float) -> bool:
-        """Return whether a request asked then can't be in time."""
-        return asked_at < self.ends and asked_at + aim > self.begins
+    def covers(self, received_at: float, aim: float) -> bool:
+        """Return whether the outage makes a request received then miss its aim."""
+        return received_at < self.ends and received_at + aim > self.begins
 
 
 @dataclass(frozen=True)
 class DayBound:
-    """The requests of a day: asked, in time, and lost by verdict and kind.
+    """Counts of a day's requests: owed, in time, and lost by kind and verdict.
 
-    unseen are those of the report that no host wrote of: they never reached one, or
-    it died with them.
+    unseen counts lost requests of the report that no host logged: they never reached a
+    host, or the host died while it handled them.
     """
 
-    asked: int
+    owed: int
     in_time: int
     lost: Counter[tuple[str, Verdict]]
     unseen: int
 
     @property
-    def most(self) -> int:
-        """Return how many could have been in time by any design.
+    def max_in_time(self) -> int:
+        """Return the upper bound of requests in time.
 
-        Hosts write of attempts: one that is lost may be made good by its repeat.
+        It is at least in_time: hosts log each attempt, and a caller's repeat of a lost
+        one may still succeed in time.
         """
-        bound = sum(n for (_, verdict), n in self.lost.items() if verdict.is_bound)
-        return max(self.in_time, self.asked - bound - self.unseen)
+        bound = sum(
+            n for (_, verdict), n in self.lost.items() if verdict.is_unavoidable
+        )
+        return max(self.in_time, self.owed - bound - self.unseen)
 
 
 def find_outages(report: dict[str, Any]) -> list[Outage]:
-    """Return the times in which a day's report says that all hosts were down.
+    """Return the periods in which, by a day's report, all hosts were down.
 
-    They last until the windows show that callers are served again.
+    An outage ends with the first window in which most requests are in time again.
     """
-    begins = [e["at_s"] for e in report["events"] if e["kind"].startswith(CLOSING)]
-    return [Outage(at, _find_return(report, at)) for at in begins]
+    begins = [
+        e["at_s"]
+        for e in report["events"]
+        if e["kind"].startswith(CLOSING_EVENT_PREFIX)
+    ]
+    return [Outage(at, _find_recovery(report, at)) for at in begins]
 
 
-def _find_return(report: dict[str, Any], at: float) -> float:
+def _find_recovery(report: dict[str, Any], at: float) -> float:
     for window in report["windows"]:
         begin = float(window["name"])
         if begin > at and window["in_aim"] * 2 > window["n"]:
@@ -109,27 +123,31 @@
     return float("inf")
 
 
-def judge(request: Lost, cause: str, outages: Iterable[Outage]) -> Verdict:
-    """Return what a request was lost to, by its cause and when it was asked."""
-    if any(outage.covers(request.asked_at, request.aim) for outage in outages):
+def find_verdict(
+    request: LostRequestLike, cause: str, outages: Iterable[Outage]
+) -> Verdict:
+    """Return why a request was lost, by its cause and the time it was received."""
+    if any(outage.covers(request.received_at, request.aim) for outage in outages):
         return Verdict.NO_HOST
-    return VERDICTS[cause]
-
-
-def bound_day(report: dict[str, Any], found: Sequence[tuple[Lost, str]]) -> DayBound:
-    """Put a day's report and the lost requests of its log together."""
-    told, outages = report["all"], find_outages(report)
-    lost = Counter((r.kind, judge(r, cause, outages)) for r, cause in found)
-    owed = told["n"] - told["not_owed"]
-    counted = told["late"] + told["refused"] + told["failed"]
-    # Callers that leave early aren't owed, and the report doesn't count them as lost.
+    return VERDICTS_BY_CAUSE[cause]
+
+
+def compute_bound(
+    report: dict[str, Any], losses: Sequence[tuple[LostRequestLike, str]]
+) -> DayBound:
+    """Compute the bound from a day's report and the lost requests in its log."""
+    totals, outages = report["all"], find_outages(report)
+    lost = Counter((r.kind, find_verdict(r, cause, outages)) for r, cause in losses)
+    owed = totals["n"] - totals["not_owed"]
+    counted = totals["late"] + totals["refused"] + totals["failed"]
+    # The report doesn't count requests whose callers disconnect early as lost.
     left = sum(n for (_, v), n in lost.items() if v is Verdict.CALLER_LEFT)
     seen = sum(lost.values()) - left
-    return DayBound(owed, told["in_aim"], lost, max(0, counted - seen))
+    return DayBound(owed, totals["in_aim"], lost, max(0, counted - seen))
 
 
 def print_bound(bound: DayBound) -> None:
-    """Print the verdicts by kind, and the most that could have been in time."""
+    """Print the verdicts by kind and the upper bound of requests in time."""
     verdicts = list(Verdict)
     print(f"\n| kind | {' | '.join(v.value for v in verdicts)} |")
     print("| --- |" + " --- |" * len(verdicts))
@@ -137,6 +155,6 @@
         cells = " | ".join(str(bound.lost[kind, verdict]) for verdict in verdicts)
         print(f"| {kind} | {cells} |")
     print(
-        f"\nowed={bound.asked} in_time={bound.in_time} unseen={bound.unseen} "
-        f"most={bound.most} left_to_gain={bound.most - bound.in_time}"
+        f"\nowed={bound.owed} in_time={bound.in_time} unseen={bound.unseen} "
+        f"most={bound.max_in_time} left_to_gain={bound.max_in_time - bound.in_time}"
     )
--- a/libraries/bench/tarragonward_bench/days/losses.py
+++ b/libraries/bench/tarragonward_bench/days/losses.py
@@ -1,8 +1,8 @@
-"""Say why requests of a day were lost, by the hosts' logs: `script/losses REPORT LOG`.
+"""Classify a day's lost requests by the hosts' logs: `script/losses REPORT LOG`.
 
-REPORT is what the users' bench writes for a day, LOG what it prints with `--log all`.
-Each request that was not in aim has one cause, the first that fits, in the order of
-CAUSES; the sum stands beside the bench's own count of late, refused and failed ones.
+REPORT is the users' benchmark's report of a day, LOG its output with `--log all`.
+Each request that missed its aim gets the first matching cause, in the order of CAUSES.
+The total is printed next to the report's count of late, refused and failed requests.
 """
 
 from __future__ import annotations
@@ -24,24 +24,24 @@
 
 from tarragonward_cli.log_lines import LogLine, parse_line  # noqa: E402
 
-from .bounds import bound_day, print_bound  # noqa: E402
+from .bounds import compute_bound, print_bound  # noqa: E402
 
 __all__ = ["LostRequest", "find_cause", "main", "read_losses"]
 
 EVENT_ENDED = "request_ended"
 ANSWERED = "answered"
-LEFT = "caller left"
+CALLER_LEFT = "caller left"
 REFUSALS = ("OVERLOADED", "UNAVAILABLE", "ACCOUNT_LIMIT")
-OUT_OF_REACH = ("not connected", "lost", "silent", "spoiled")
-SERVER_FAILURES = 500
+UNREACHABLE_FAULTS = ("not connected", "lost", "silent", "spoiled")
+MIN_SERVER_ERROR_STATUS = 500
 WINDOW_SECONDS = 2
-# A log may carry the seconds since the traffic began before each line.
-SIMULATED = re.compile(r"^\s*(-?[0-9.]+) ")
+# Optional prefix of a log line: seconds since the traffic began.
+TRAFFIC_SECONDS_PREFIX = re.compile(r"^\s*(-?[0-9.]+) ")
 
 
 @dataclass(frozen=True)
 class LostRequest:
-    """A request that was not in aim, as its host logged its end; times in seconds."""
+    """Request that missed its aim, as logged by its host; times in seconds."""
 
     at: float
     host: str
@@ -60,19 +60,19 @@
     seconds: float = 0.0
 
     @property
-    def asked_at(self) -> float:
-        """Return when the host took the request; at is when it ended."""
+    def received_at(self) -> float:
+        """Return when the host received the request; at is when it ended."""
         return self.at - self.seconds
 
     @property
     def was_in_time(self) -> bool:
-        """Return whether its caller got a whole answer in time after all."""
-        is_whole = self.outcome == ANSWERED and self.status < SERVER_FAILURES
+        """Return whether the caller got the complete answer in time."""
+        is_whole = self.outcome == ANSWERED and self.status < MIN_SERVER_ERROR_STATUS
         return is_whole and not self.is_late and not self.has_long_pause
 
     @property
     def is_late(self) -> bool:
-        """Return whether the first event, or a call's answer, missed its aim."""
+        """Return whether the first event, or the answer to a call, came too late."""
         taken = self.first
         if taken is None and not self.prompt_tokens and self.outcome == ANSWERED:
             taken = self.seconds
@@ -80,12 +80,12 @@
 
     @property
     def has_long_pause(self) -> bool:
-        """Return whether a pause broke its aim."""
+        """Return whether a pause between events exceeded its aim."""
         return bool(self.pause_aim) and self.pause > self.pause_aim
 
     @property
     def kind(self) -> str:
-        """Return what tells its kind: a prompt or a call, and its aim."""
+        """Return the kind of request: prompt or call, and its aim."""
         return f"{'prompt' if self.prompt_tokens else 'call'}, aim {self.aim:g} s"
 
 
@@ -94,9 +94,9 @@
 CAUSES: dict[str, Check] = {
     "refused": lambda r: r.outcome in REFUSALS,
     "failed by its target": lambda r: (
-        r.status >= SERVER_FAILURES and not r.prompt_tokens
+        r.status >= MIN_SERVER_ERROR_STATUS and not r.prompt_tokens
     ),
-    "out of reach": lambda r: any(fault in OUT_OF_REACH for fault in r.faults),
+    "out of reach": lambda r: any(fault in UNREACHABLE_FAULTS for fault in r.faults),
     "late as placed": lambda r: (
         r.is_late and r.predicted is not None and r.predicted > r.aim
     ),
@@ -104,26 +104,26 @@
         r.held_up > (r.aim if r.first is None else r.pause_aim or r.aim)
     ),
     "pause broken otherwise": lambda r: r.first is not None and r.has_long_pause,
-    "left by its caller": lambda r: r.outcome == LEFT,
+    "left by its caller": lambda r: r.outcome == CALLER_LEFT,
     "late though predicted in time": lambda r: r.is_late,
     "ended without an answer": lambda r: r.outcome != ANSWERED,
 }
 
 
 def find_cause(request: LostRequest) -> str | None:
-    """Return why a request was lost, None where it was in aim."""
+    """Return why a request was lost, or None if it was in time."""
     if request.was_in_time:
         return None
     return next((name for name, fits in CAUSES.items() if fits(request)), None)
 
 
 def read_losses(lines: Iterable[str]) -> Iterator[LostRequest]:
-    """Give the ends of requests that the lines of a log hold."""
+    """Yield the request_ended events of a log."""
     for text in lines:
         line = parse_line(text)
         if line is None or line.event != EVENT_ENDED or "aim" not in line.fields:
             continue
-        simulated = SIMULATED.match(text)
+        simulated = TRAFFIC_SECONDS_PREFIX.match(text)
         yield _build(line, float(simulated[1]) if simulated else line.up)
 
 
@@ -161,11 +161,11 @@
         print(f"| {name} | {cells} |")
 
 
-def _draw(found: Sequence[tuple[LostRequest, str]], path: Path) -> None:
-    """Draw the lost requests over time, stacked by cause."""
-    names = [name for name in CAUSES if any(cause == name for _, cause in found)]
-    times = [[r.at for r, cause in found if cause == name] for name in names]
-    end = max((request.at for request, _ in found), default=0.0)
+def _plot(losses: Sequence[tuple[LostRequest, str]], path: Path) -> None:
+    """Plot a histogram of lost requests over time, stacked by cause."""
+    names = [name for name in CAUSES if any(cause == name for _, cause in losses)]
+    times = [[r.at for r, cause in losses if cause == name] for name in names]
+    end = max((request.at for request, _ in losses), default=0.0)
     bins = range(0, int(end) + 2 * WINDOW_SECONDS, WINDOW_SECONDS)
     figure, axes = plt.subplots(figsize=(10, 4))
     axes.hist(times, bins=list(bins), stacked=True, label=names)
@@ -177,14 +177,19 @@
 
 
 def main() -> int:
-    """Print the tables; return the exit status."""
+    """Print tables by kind, time and host; return the exit status."""
     parser = argparse.ArgumentParser(prog="script/losses", description=__doc__)
     parser.add_argument("report", type=Path)
     parser.add_argument("log", type=Path, nargs="+")
     parser.add_argument(
-        "--pass-over", action="append", default=[], help="a kind the report leaves out"
+        "--pass-over",
+        action="append",
+        default=[],
+        help="kind that the report doesn't count",
+    )
+    parser.add_argument(
+        "--plot", type=Path, help="write a plot of the causes to this file"
     )
-    parser.add_argument("--plot", type=Path, help="a file to draw the causes into")
     options = parser.parse_args()
     lines = (
         line
@@ -192,26 +197,26 @@
         for line in path.read_text("utf-8", errors="replace").splitlines()
     )
     pairs = ((request, find_cause(request)) for request in read_losses(lines))
-    found = [
+    losses = [
         (request, cause)
         for request, cause in pairs
         if cause is not None and request.kind not in options.pass_over
     ]
-    _print_table("kind", Counter((r.kind, cause) for r, cause in found))
-    seconds = [int(r.at // WINDOW_SECONDS) * WINDOW_SECONDS for r, _ in found]
+    _print_table("kind", Counter((r.kind, cause) for r, cause in losses))
+    seconds = [int(r.at // WINDOW_SECONDS) * WINDOW_SECONDS for r, _ in losses]
     by_window = Counter(
         (f"{second:02}", cause)
-        for second, (_, cause) in zip(seconds, found, strict=True)
+        for second, (_, cause) in zip(seconds, losses, strict=True)
     )
     _print_table("from second", by_window)
-    _print_table("host", Counter((r.host, cause) for r, cause in found))
+    _print_table("host", Counter((r.host, cause) for r, cause in losses))
     report = json.loads(options.report.read_text("utf-8"))
-    told = report["all"]
-    counted = told["late"] + told["refused"] + told["failed"]
-    print(f"\ncauses={len(found)} bench={counted} differ={len(found) - counted}")
-    print_bound(bound_day(report, found))
+    totals = report["all"]
+    counted = totals["late"] + totals["refused"] + totals["failed"]
+    print(f"\ncauses={len(losses)} bench={counted} differ={len(losses) - counted}")
+    print_bound(compute_bound(report, losses))
     if options.plot:
-        _draw(found, options.plot)
+        _plot(losses, options.plot)
     return 0
 
 
--- a/libraries/bench/tarragonward_bench/days/pairs.py
+++ b/libraries/bench/tarragonward_bench/days/pairs.py
@@ -1,4 +1,4 @@
-"""Compare plays of the same site, day and seed: mean change and its standard error."""
+"""Paired comparison of plays of the same site, day and seed."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 def get_worth(played: PlayedDay) -> float:
-    """Return the worth of a day, payoff less prices."""
+    """Return the worth of a day: payoff minus prices."""
     return played.worth
 
 
 @dataclass(frozen=True)
 class Change:
-    """A mean change over pairs, its standard error, and how many pairs there were."""
+    """Mean change over pairs, its standard error and the number of pairs."""
 
     mean: float
     error: float
     pairs: int
 
     def __str__(self) -> str:
-        """Return it as it stands in a table."""
+        """Return the text of a table cell."""
         if not self.pairs:
             return "not run"
         error = "" if math.isnan(self.error) else f" ± {self.error:.3f}"
@@ -38,7 +38,7 @@
 def compute_change(
     reference: Iterable[PlayedDay], changed: Iterable[PlayedDay], measure: Measure
 ) -> Change:
-    """Return how a measure changes where both have played a day with a seed."""
+    """Return the change of a measure over plays that exist on both sides."""
     before = {_get_key(played): measure(played) for played in reference}
     after = {_get_key(played): measure(played) for played in changed}
     changes = [after[key] - before[key] for key in after if key in before]
@@ -51,7 +51,10 @@
 
 
 def format_table(plays: Sequence[PlayedDay], reference: str, measure: Measure) -> str:
-    """Return a row a variant, a column a site; the reference with its means."""
+    """Return a Markdown table: a row per variant, a column per site.
+
+    The row of the reference holds means, the others hold changes against it.
+    """
     sites = sorted({played.site for played in plays})
     variants = dict.fromkeys(played.variant for played in plays)
     lines = [f"| variant | {' | '.join(sites)} | rules broken |"]
--- a/libraries/bench/tarragonward_bench/days/plays.py
+++ b/libraries/bench/tarragonward_bench/days/plays.py
@@ -1,4 +1,4 @@
-"""Play a day by the users' bench in a copy of the workspace, and read its report."""
+"""Run the users' benchmark in a copy of the workspace and parse its report."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class PlayError(Exception):
-    """Report a play that brought no report."""
+    """Raised if the benchmark wrote no report."""
 
 
 @dataclasses.dataclass(frozen=True)
 class DayPlay:
-    """A day to be played; without a seed it has its own."""
+    """Day to be played; without a seed, the day's own seed is used."""
 
     site: Path
     day: str
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlayedDay:
-    """What the bench said of a day: worth, its parts, shares in aim, rules broken."""
+    """Result of a day: worth, its parts, shares in aim and broken rules."""
 
     variant: str
     commit: str
@@ -50,7 +50,7 @@
 
 
 def play_day(play: DayPlay, copy: Path, bench: str, why: str, out: Path) -> PlayedDay:
-    """Play a day in a copy; raise PlayError where the bench gives no report."""
+    """Play a day in a copy; raise PlayError if the benchmark writes no report."""
     stem = f"{play.site.stem}-{Path(play.day).stem}-{play.seed or 'own'}"
     report = out / f"{play.variant}-{stem}.json"
     report.unlink(missing_ok=True)
@@ -71,7 +71,7 @@
 
 
 def _find_entry(copy: Path, before: set[Path], play: DayPlay) -> str:
-    # Plays of one copy run side by side, and each leaves an entry.
+    # Concurrent plays of one copy each add an entry.
     for path in sorted(set((copy / "journal").glob("*.json")) - before, reverse=True):
         entry = json.loads(path.read_text("utf-8"))
         argv = entry["argv"]
@@ -105,7 +105,7 @@
 
 
 def copy_journal(copy: Path, root: Path) -> int:
-    """Bring a copy's new journal entries into the repository; return how many."""
+    """Copy new journal entries into the repository; return the number of files."""
     new = 0
     for path in (copy / "journal").rglob("*"):
         kept = root / "journal" / path.relative_to(copy / "journal")
@@ -117,13 +117,13 @@
 
 
 def write_play(path: Path, played: PlayedDay) -> None:
-    """Append a play to a file of JSON lines."""
+    """Append a result to a JSON Lines file."""
     with path.open("a", encoding="utf-8") as file:
         file.write(json.dumps(dataclasses.asdict(played)) + "\n")
 
 
 def read_plays(path: Path) -> list[PlayedDay]:
-    """Return the plays of a file of JSON lines."""
+    """Return the results in a JSON Lines file."""
     if not path.exists():
         return []
     rows = [json.loads(line) for line in path.read_text("utf-8").splitlines()]
--- a/libraries/bench/tarragonward_bench/days/sweeps.py
+++ b/libraries/bench/tarragonward_bench/days/sweeps.py
@@ -1,8 +1,9 @@
-"""Tabulate sweeps over fleets of growing size: `script/sweep [ENTRY...]`.
+"""Tabulate scaling sweeps over fleets of growing size: `script/sweep [ENTRY...]`.
 
-A sweep plays one day on some tens to hundreds of hosts; the journal's entry keeps its
-table: for each size the middle and the greatest figure, the power of the number of
-hosts with which the greatest grows, and where that leads at the size aimed for.
+A sweep plays one day on fleets of tens to hundreds of hosts. Its journal entry holds a
+table with, for each metric, the median and the maximum at each size, the exponent of
+the power law by which the maximum grows with the number of hosts, and the value that
+this extrapolates to at the target size.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 
 from matplotlib import pyplot as plt  # noqa: E402
 
-__all__ = ["Figure", "Sweep", "format_sweep", "main", "read_sweep"]
+__all__ = ["ScalingMetric", "Sweep", "format_sweep", "main", "read_sweep"]
 
 COMMAND = "sweep"
 JOURNAL = Path("journal")
-PAIR = re.compile(r"(\S+) / (\S+)")
-AIMED = re.compile(r"power\s+at (\d+)\s*$")
-# What a host may spend on control; what a sweep shows has the serving work in it too.
+MEDIAN_AND_MAXIMUM = re.compile(r"(\S+) / (\S+)")
+HEADER_END = re.compile(r"power\s+at (\d+)\s*$")
+# Budgets for the control plane of a host; the values of a sweep include serving work.
 BUDGETS = {
     "entry: processor %": 1.4,
     "entry: memory MB": 32.0,
@@ -38,24 +39,24 @@
 
 
 @dataclass(frozen=True)
-class Figure:
-    """One row: (middle, greatest) by size, how it grows, what is reckoned from it."""
+class ScalingMetric:
+    """One metric: (median, maximum) by size, scaling exponent and extrapolation."""
 
     name: str
     by_size: tuple[tuple[float, float], ...]
-    power: float
-    reckoned: float
+    exponent: float
+    extrapolated: float
 
     @property
-    def is_over(self) -> bool:
-        """Return whether what is reckoned is over the budget, False without one."""
+    def exceeds_budget(self) -> bool:
+        """Return whether the extrapolated value exceeds the budget, if there is one."""
         budget = BUDGETS.get(self.name)
-        return budget is not None and self.reckoned > budget
+        return budget is not None and self.extrapolated > budget
 
 
 @dataclass(frozen=True)
 class Sweep:
-    """One entry of the journal; days are (hosts, targets, worth, served share)."""
+    """Sweep of a journal entry; days are (hosts, targets, worth, served share)."""
 
     id: str
     site: str
@@ -63,24 +64,24 @@
     sizes: tuple[int, ...]
     days: tuple[tuple[int, int, float, float], ...]
     rules: tuple[str, ...]
-    aimed: int
-    figures: tuple[Figure, ...]
+    target_size: int
+    metrics: tuple[ScalingMetric, ...]
 
 
 def read_sweep(entry: dict[str, Any]) -> Sweep:
-    """Return the sweep of a journal's entry; raise ValueError where it has no table."""
+    """Return the sweep of a journal entry; raise ValueError if it has no table."""
     lines = entry["digest"].splitlines()
-    heads = [n for n, line in enumerate(lines) if AIMED.search(line)]
-    if not heads:
-        raise ValueError(f"{entry['id']}: no table of a sweep")
-    head = lines[heads[0]]
-    aimed = AIMED.search(head)
-    assert aimed is not None
+    headers = [n for n, line in enumerate(lines) if HEADER_END.search(line)]
+    if not headers:
+        raise ValueError(f"{entry['id']}: the entry has no table of a sweep")
+    header = lines[headers[0]]
+    target_size = HEADER_END.search(header)
+    assert target_size is not None
     return Sweep(
         id=entry["id"],
         site=entry["site"],
         commit=entry["head"][:7],
-        sizes=tuple(int(text) for text in head[: aimed.start()].split()),
+        sizes=tuple(int(text) for text in header[: target_size.start()].split()),
         days=tuple(
             (day["balancers"], day["servers"], day["G"], day["served"])
             for day in entry["days"]
@@ -88,23 +89,23 @@
         rules=tuple(
             f"{day['name']}: {name}" for day in entry["days"] for name in day["rules"]
         ),
-        aimed=int(aimed[1]),
-        figures=tuple(_read_figures(lines[heads[0] + 1 :])),
+        target_size=int(target_size[1]),
+        metrics=tuple(_parse_metrics(lines[headers[0] + 1 :])),
     )
 
 
-def _read_figures(lines: Sequence[str]) -> Iterator[Figure]:
+def _parse_metrics(lines: Sequence[str]) -> Iterator[ScalingMetric]:
     for line in lines:
-        pairs = PAIR.findall(line)
+        pairs = MEDIAN_AND_MAXIMUM.findall(line)
         if not pairs:
             return
         name, _, _ = line.partition(" / ")
-        power, reckoned = line.split()[-2:]
-        yield Figure(
+        exponent, extrapolated = line.split()[-2:]
+        yield ScalingMetric(
             name=name.rsplit(maxsplit=1)[0].strip(),
-            by_size=tuple((float(middle), float(most)) for middle, most in pairs),
-            power=float(power),
-            reckoned=float(reckoned),
+            by_size=tuple((float(median), float(maximum)) for median, maximum in pairs),
+            exponent=float(exponent),
+            extrapolated=float(extrapolated),
         )
 
 
@@ -125,30 +126,32 @@
     sizes = " | ".join(map(str, sweep.sizes))
     lines += [
         "",
-        f"| middle / greatest at | {sizes} | power | at {sweep.aimed} | budget |",
+        f"| middle / greatest at | {sizes} | power | at {sweep.target_size} | budget |",
         "| --- |" + " --- |" * (len(sweep.sizes) + 3),
     ]
-    lines += [_format_figure(figure) for figure in sweep.figures]
+    lines += [_format_metric(figure) for figure in sweep.metrics]
     return "\n".join(lines)
 
 
-def _format_figure(figure: Figure) -> str:
-    cells = " | ".join(f"{middle:g} / {most:g}" for middle, most in figure.by_size)
+def _format_metric(figure: ScalingMetric) -> str:
+    cells = " | ".join(
+        f"{median:g} / {maximum:g}" for median, maximum in figure.by_size
+    )
     budget = BUDGETS.get(figure.name)
     verdict = "-" if budget is None else f"{budget:g}"
-    if figure.is_over:
+    if figure.exceeds_budget:
         verdict += ", OVER"
-    reckoned = f"{figure.power:g} | {figure.reckoned:g}"
-    return f"| {figure.name} | {cells} | {reckoned} | {verdict} |"
+    extrapolated = f"{figure.exponent:g} | {figure.extrapolated:g}"
+    return f"| {figure.name} | {cells} | {extrapolated} | {verdict} |"
 
 
-def _draw(sweep: Sweep, path: Path) -> None:
-    """Draw each figure's greatest value by size, against that of the first size."""
+def _plot(sweep: Sweep, path: Path) -> None:
+    """Plot the maximum of each metric by size, relative to the first size."""
     figure, axes = plt.subplots(figsize=(8, 5))
-    for row in sweep.figures:
+    for row in sweep.metrics:
         first = row.by_size[0][1]
         if first:
-            shares = [most / first for _, most in row.by_size]
+            shares = [maximum / first for _, maximum in row.by_size]
             axes.plot(sweep.sizes, shares, marker="o", label=row.name)
     axes.set_xscale("log")
     axes.set_yscale("log")
@@ -160,7 +163,7 @@
 
 
 def _find_entries(paths: Sequence[Path], site: str | None) -> list[dict[str, Any]]:
-    """Return the entries named, else all whole sweeps of the journal, oldest first."""
+    """Return the given sweeps, or all successful ones in the journal, oldest first."""
     entries = []
     for path in paths or sorted(JOURNAL.glob("*.json")):
         text = path.read_text("utf-8")
@@ -173,11 +176,13 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Print the tables; return the exit status, 1 where there is no sweep."""
+    """Print the tables; return the exit status, 1 if there is no sweep."""
     parser = argparse.ArgumentParser(prog="script/sweep", description=__doc__)
-    parser.add_argument("entries", type=Path, nargs="*", help="files of the journal")
+    parser.add_argument("entries", type=Path, nargs="*", help="journal files")
     parser.add_argument("--site", help="only sweeps of this site")
-    parser.add_argument("--plot", type=Path, help="a file to draw the last one into")
+    parser.add_argument(
+        "--plot", type=Path, help="write a plot of the last sweep to this file"
+    )
     options = parser.parse_args(arguments)
     sweeps = [read_sweep(e) for e in _find_entries(options.entries, options.site)]
     for sweep in sweeps:
@@ -186,7 +191,7 @@
         print("no sweep found", file=sys.stderr)
         return 1
     if options.plot:
-        _draw(sweeps[-1], options.plot)
+        _plot(sweeps[-1], options.plot)
     return 0
 
 
--- a/libraries/bench/tarragonward_bench/days/variants.py
+++ b/libraries/bench/tarragonward_bench/days/variants.py
@@ -1,4 +1,4 @@
-"""Make copies of the workspace, each with a mechanism switched off or of a commit."""
+"""Create copies of the workspace with a mechanism disabled or at another commit."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class VariantError(Exception):
-    """Report a variant that cannot be made."""
+    """Raised if a variant cannot be created."""
 
 
 @dataclass(frozen=True)
 class Variant:
-    """The code of a commit with edits; without either, the code as it is."""
+    """Code of a commit with edits applied; the default is the unchanged HEAD."""
 
     name: str
     mechanism: str = AS_IT_IS
@@ -30,12 +30,12 @@
 
     @property
     def is_reference(self) -> bool:
-        """Return whether the others are compared with this one."""
+        """Return whether this is the variant that others are compared with."""
         return self.mechanism == AS_IT_IS
 
 
 def load_variants(path: Path) -> list[Variant]:
-    """Return the variants of a table; raise KeyError for a field that is missing."""
+    """Return the variants of a table; raise KeyError if a field is missing."""
     table = tomllib.loads(path.read_text("utf-8"))
     return [
         Variant(
@@ -53,7 +53,7 @@
 
 
 def make_copy(root: Path, folder: Path, variant: Variant) -> Path:
-    """Return a clone of the repository below a folder, with the variant's edits."""
+    """Clone the repository into a sub-folder, apply the edits and return its path."""
     copy = folder / variant.name
     if not copy.exists():
         _run("git", "clone", "--quiet", str(root), str(copy))
@@ -65,7 +65,7 @@
 
 
 def apply_edits(copy: Path, edits: Iterable[Edit]) -> None:
-    """Change the files of a copy."""
+    """Apply edits to the files of a copy."""
     for edit in edits:
         path = copy / edit.file
         path.write_text(edit.apply(path.read_text("utf-8")), "utf-8")
@@ -74,9 +74,9 @@
 def _run(*command: str, cwd: Path | None = None) -> str:
     done = subprocess.run(command, cwd=cwd, capture_output=True, text=True)
     if done.returncode:
-        raise VariantError(f"{_show(command)}: {done.stderr.strip()}")
+        raise VariantError(f"{_format_command(command)}: {done.stderr.strip()}")
     return done.stdout
 
 
-def _show(command: Sequence[str]) -> str:
+def _format_command(command: Sequence[str]) -> str:
     return " ".join(command[:2])
--- a/libraries/bench/tarragonward_bench/demo.py
+++ b/libraries/bench/tarragonward_bench/demo.py
@@ -1,4 +1,4 @@
-"""Run the main job on a small site and break it on the way."""
+"""Run a mixed load on a small site and kill an engine and a host meanwhile."""
 
 from __future__ import annotations
 
@@ -29,36 +29,37 @@
 PROMPT_LIMIT_SECONDS = 30.0
 MAX_TOKENS = 24
 BYTES_PER_TOKEN = 4
-# Of 20 prompts, one is very long and two are middling; the rest is short.
+# (cumulative weight out of LENGTHS_TOTAL, range of tokens): of 20 prompts, one is very
+# long and two are of medium length.
 LENGTHS_TOKENS = ((1, (120_000, 200_000)), (3, (8_000, 30_000)), (20, (1_000, 4_000)))
 LENGTHS_TOTAL = 20
-SETTLE_SECONDS = 15.0
-SETTLE_STEP_SECONDS = 0.5
+MAX_RELEASE_SECONDS = 15.0
+RELEASE_POLL_SECONDS = 0.5
 SEED = 1
 EXIT_INTERRUPTED = 130
 
 
 class Demo:
-    """Send the load, keep the score, and break one host and one engine."""
+    """Generates the load, counts outcomes, and kills one engine and one host."""
 
     def __init__(self, site: Site) -> None:
         self._site = site
         self._random = random.Random(SEED)
         self._balancer = Balancer(site, self._random)
         self._score: Counter[str] = Counter()
-        self._told: dict[str, Conclusion] = {}
+        self._conclusions: dict[str, Conclusion] = {}
         self._ttft: dict[tuple[str, str], list[float]] = {}
 
     async def async_run(self) -> bool:
-        """Run all of it; return whether every promise was kept."""
+        """Run the demo; return whether all guarantees held."""
         checking = asyncio.create_task(self._balancer.async_check())
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._async_break())
+            group.create_task(self._async_inject_faults())
             group.create_task(self._async_load(group))
         checking.cancel()
         print("progress waiting for the engines' memory")
         leaked = await self._async_count_leaked_tokens() * BYTES_PER_TOKEN
-        doubled = await self._async_judge_runs()
+        doubled = await self._async_count_duplicate_runs()
         self._print_table()
         score = self._score
         print(
@@ -83,7 +84,7 @@
                 group.create_task(send())
                 await asyncio.sleep(1 / len(kinds))
 
-    async def _async_break(self) -> None:
+    async def _async_inject_faults(self) -> None:
         await asyncio.sleep(LOAD_SECONDS * 0.4)
         engine = next(iter(self._site.engines))
         print(f"progress killing target={engine}")
@@ -110,9 +111,11 @@
         account, caller = self._pick_caller()
         self._score["sent"] += 1
         result = await caller.async_complete(prompt, MAX_TOKENS, PROMPT_LIMIT_SECONDS)
-        self._note_prompt(account, tokens, result)
+        self._record_prompt(account, tokens, result)
 
-    def _note_prompt(self, account: str, tokens: int, result: CompletionResult) -> None:
+    def _record_prompt(
+        self, account: str, tokens: int, result: CompletionResult
+    ) -> None:
         self._score[result.outcome.value] += 1
         if result.outcome is not Outcome.WHOLE:
             print(
@@ -128,24 +131,24 @@
         part = f"{self._random.getrandbits(64):x}"
         self._score["sent"] += 1
         end = await caller.async_call(f"slot {part}".encode(), part, CALL_LIMIT_SECONDS)
-        self._note_call(end)
+        self._record_call(end)
 
-    def _note_call(self, end: CallEnd) -> None:
+    def _record_call(self, end: CallEnd) -> None:
         self._score[end.outcome.value] += 1
         if end.key:
-            self._told[end.key] = end.conclusion
+            self._conclusions[end.key] = end.conclusion
         if end.outcome is not Outcome.WHOLE:
             told = end.conclusion.value
             print(f"progress call={end.outcome.value} told={told!r} {end.detail}")
 
     async def _async_count_leaked_tokens(self) -> int:
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + SETTLE_SECONDS
+        give_up_at = loop.time() + MAX_RELEASE_SECONDS
         while True:
             held = await self._async_count_held_tokens()
             if held == 0 or loop.time() > give_up_at:
                 return held
-            await asyncio.sleep(SETTLE_STEP_SECONDS)
+            await asyncio.sleep(RELEASE_POLL_SECONDS)
 
     async def _async_count_held_tokens(self) -> int:
         held = 0
@@ -156,20 +159,23 @@
                 held += report["kv_tokens"] - report["free_kv_tokens"]
         return held
 
-    async def _async_judge_runs(self) -> int:
-        """Return how many calls ran twice; what a caller was wrongly told is wrong."""
+    async def _async_count_duplicate_runs(self) -> int:
+        """Return how many calls ran more than once.
+
+        Calls whose caller got the wrong conclusion are added to the score as wrong.
+        """
         runs: Counter[str] = Counter()
         for address in self._site.services.values():
             answer = await async_send_http(address, "GET", "/runs", timeout=2.0)
             runs.update(answer.parse_json())
-        for key, conclusion in self._told.items():
+        for key, conclusion in self._conclusions.items():
             ran_untold = conclusion is Conclusion.NOT_RUN and runs[key] > 0
             told_unrun = conclusion is Conclusion.RUN and runs[key] == 0
             self._score["wrong"] += ran_untold or told_unrun
         return sum(count > 1 for key, count in runs.items() if key)
 
     def _print_table(self) -> None:
-        print("time to first token, from the caller's first try, in seconds")
+        print("time to first token, from the caller's first attempt, in seconds")
         print(f"{'length':10} {'client account':16} {'n':>5} {'p50':>8} {'p95':>8}")
         for (length, account), values in sorted(self._ttft.items()):
             values.sort()
@@ -219,8 +225,8 @@
 
 
 async def _async_run_until_signal(keep: bool) -> int:
-    # The site's processes must not outlive the demo, whichever way it is told to end:
-    # a signal cancels the main task, and its exit stack ends them.
+    # A signal cancels the main task, so that its exit stack stops the site's processes
+    # instead of leaving them behind.
     main_task = asyncio.current_task()
     assert main_task is not None
     loop = asyncio.get_running_loop()
@@ -235,7 +241,7 @@
 def main() -> None:
     """Run the demo as a process."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--keep", action="store_true", help="keep the site up")
+    parser.add_argument("--keep", action="store_true", help="keep the site running")
     arguments = parser.parse_args()
     sys.stdout.reconfigure(line_buffering=True)
     sys.exit(asyncio.run(_async_run_until_signal(arguments.keep)))
--- a/libraries/bench/tarragonward_bench/faults.py
+++ b/libraries/bench/tarragonward_bench/faults.py
@@ -1,7 +1,7 @@
-"""Measure what faults cost callers: `script/measure faults`.
+"""Measure the effect of faults on callers: `script/measure faults`.
 
-Each fault is brought about on a site of this system and on one of plain round-robin
-proxies with blind retry, over the same stand-ins and the same load, side by side.
+Each fault is injected concurrently into a site of this system and into one of
+round-robin proxies with unconditional retry, on the same stand-ins and load.
 """
 
 from __future__ import annotations
@@ -37,8 +37,8 @@
 LONG_TOKENS = 96
 LONG_SHARE = 0.25
 SEED = 1
-NEAR, FAR = "north", "south"
-HOST, ENGINE = f"entry-{NEAR}-1", f"engine-{NEAR}-1"
+LOCAL, REMOTE = "north", "south"
+HOST, ENGINE = f"entry-{LOCAL}-1", f"engine-{LOCAL}-1"
 
 SYSTEMS = {
     "tarragonward": "tarragonward_daemon.main",
@@ -47,101 +47,105 @@
 
 
 @dataclass
-class _Place:
-    """A site, its balancer, and the proxies before the far domain's engines."""
+class _Testbed:
+    """Site, its load balancer, and the proxies to the remote domain's engines."""
 
     site: Site
     balancer: Balancer
     proxies: list[FaultProxy] = field(default_factory=list)
 
-    def cut(self, is_cut: bool) -> None:
-        far = [proxy for name, proxy in self.site.proxies.items() if f"-{FAR}-" in name]
-        for proxy in self.proxies + far:
-            proxy.faults.blackhole_to_target = proxy.faults.blackhole_to_caller = is_cut
+    def set_partitioned(self, is_partitioned: bool) -> None:
+        remote = [
+            proxy for name, proxy in self.site.proxies.items() if f"-{REMOTE}-" in name
+        ]
+        for proxy in self.proxies + remote:
+            proxy.faults.blackhole_to_target = proxy.faults.blackhole_to_caller = (
+                is_partitioned
+            )
 
 
-Action = Callable[[_Place], Awaitable[None]]
+FaultAction = Callable[[_Testbed], Awaitable[None]]
 
 
 @dataclass(frozen=True)
 class Fault:
-    """How a fault begins and ends."""
+    """Actions that inject and clear a fault."""
 
-    begin: Action
-    end: Action
+    inject: FaultAction
+    clear: FaultAction
 
 
 def _kill(name: str) -> Fault:
-    async def async_begin(place: _Place) -> None:
-        await place.site.async_kill(name)
+    async def async_inject(testbed: _Testbed) -> None:
+        await testbed.site.async_kill(name)
 
-    async def async_end(place: _Place) -> None:
-        await place.site.async_start(name)
+    async def async_clear(testbed: _Testbed) -> None:
+        await testbed.site.async_start(name)
 
-    return Fault(async_begin, async_end)
+    return Fault(async_inject, async_clear)
 
 
-def _freeze(name: str) -> Fault:
-    async def async_begin(place: _Place) -> None:
-        place.site.send_signal(name, signal.SIGSTOP)
+def _pause(name: str) -> Fault:
+    async def async_inject(testbed: _Testbed) -> None:
+        testbed.site.send_signal(name, signal.SIGSTOP)
 
-    async def async_end(place: _Place) -> None:
-        place.site.send_signal(name, signal.SIGCONT)
+    async def async_clear(testbed: _Testbed) -> None:
+        testbed.site.send_signal(name, signal.SIGCONT)
 
-    return Fault(async_begin, async_end)
+    return Fault(async_inject, async_clear)
 
 
-def _cut() -> Fault:
-    """Cut the far domain off, as the near one's hosts and callers see it."""
+def _partition() -> Fault:
+    """Partition the remote domain from the hosts and callers of the local domain."""
 
-    async def async_begin(place: _Place) -> None:
-        place.cut(True)
+    async def async_inject(testbed: _Testbed) -> None:
+        testbed.set_partitioned(True)
 
-    async def async_end(place: _Place) -> None:
-        place.cut(False)
+    async def async_clear(testbed: _Testbed) -> None:
+        testbed.set_partitioned(False)
 
-    return Fault(async_begin, async_end)
+    return Fault(async_inject, async_clear)
 
 
 FAULTS: dict[str, Fault] = {
     "host_killed": _kill(HOST),
-    "host_frozen": _freeze(HOST),
+    "host_frozen": _pause(HOST),
     "engine_killed": _kill(ENGINE),
-    "engine_frozen": _freeze(ENGINE),
-    "domain_cut": _cut(),
+    "engine_frozen": _pause(ENGINE),
+    "domain_cut": _partition(),
 }
 
 
 @dataclass
 class Score:
-    """What callers saw: (seconds after the fault began, whole, seconds taken)."""
+    """Outcomes: (send time in seconds from the fault, is complete, duration)."""
 
     ended: list[tuple[float, bool, float]] = field(default_factory=list)
 
-    def get_share(self) -> float:
-        """Return the share answered whole of those in progress or sent in the fault."""
-        met = [
+    def get_success_rate(self) -> float:
+        """Return the success rate of requests sent or in progress during the fault."""
+        affected = [
             whole
             for sent, whole, taken in self.ended
             if sent <= FAULT_SECONDS and sent + taken >= 0
         ]
-        return sum(met) / max(len(met), 1)
+        return sum(affected) / max(len(affected), 1)
 
-    def get_back_seconds(self) -> float:
-        """Return after how many seconds every request sent was whole again."""
+    def get_recovery_seconds(self) -> float:
+        """Return the seconds from the fault to the last request that failed."""
         failed = [sent for sent, whole, _ in self.ended if not whole]
         return max([0.0, *failed])
 
-    def get_high_seconds(self) -> float:
-        """Return the time that 95 in 100 of the whole answers took at most."""
+    def get_p95_seconds(self) -> float:
+        """Return the 95th percentile of the duration of successful requests."""
         taken = sorted(taken for _, whole, taken in self.ended if whole)
         return taken[int(len(taken) * 0.95)] if taken else 0.0
 
 
 async def async_measure(folder: Path, system: str, name: str) -> Score:
-    """Run one system under one fault."""
+    """Run one system with one fault."""
     plan = SitePlan(
-        (NEAR, FAR),
+        (LOCAL, REMOTE),
         services_per_domain=0,
         has_proxies=name == "domain_cut",
         host_module=SYSTEMS[system],
@@ -151,55 +155,55 @@
         stack.push_async_callback(site.async_unload)
         await site.async_setup()
         await async_wait_engines(site)
-        place = _Place(site, Balancer(site))
-        await place.balancer.async_setup()
-        stack.push_async_callback(place.balancer.async_unload)
+        testbed = _Testbed(site, Balancer(site))
+        await testbed.balancer.async_setup()
+        stack.push_async_callback(testbed.balancer.async_unload)
         if name == "domain_cut":
-            await _async_prepare_cut(place, stack)
-        return await _async_load(place, FAULTS[name])
+            await _async_prepare_partition(testbed, stack)
+        return await _async_load(testbed, FAULTS[name])
 
 
-async def _async_prepare_cut(place: _Place, stack: AsyncExitStack) -> None:
-    place.balancer.failure_domains = frozenset({NEAR})
-    far = [name for name in place.site.engines if FAR in name]
-    for base, engine in enumerate(far):
-        proxy = await async_insert_proxy(place.site, engine, base)
+async def _async_prepare_partition(testbed: _Testbed, stack: AsyncExitStack) -> None:
+    testbed.balancer.failure_domains = frozenset({LOCAL})
+    remote = [name for name in testbed.site.engines if REMOTE in name]
+    for base, engine in enumerate(remote):
+        proxy = await async_insert_proxy(testbed.site, engine, base)
         stack.push_async_callback(proxy.async_unload)
-        place.proxies.append(proxy)
+        testbed.proxies.append(proxy)
 
 
-async def _async_load(place: _Place, fault: Fault) -> Score:
+async def _async_load(testbed: _Testbed, fault: Fault) -> Score:
     loop = asyncio.get_running_loop()
     score, chooser = Score(), random.Random(SEED)
-    began_at = loop.time() + BEFORE_SECONDS
+    fault_at = loop.time() + BEFORE_SECONDS
     async with asyncio.TaskGroup() as group:
-        group.create_task(_async_break(place, fault, began_at))
+        group.create_task(_async_inject(testbed, fault, fault_at))
         number = 0
-        while loop.time() < began_at + FAULT_SECONDS + AFTER_SECONDS:
+        while loop.time() < fault_at + FAULT_SECONDS + AFTER_SECONDS:
             is_long = chooser.random() < LONG_SHARE
             tokens = LONG_TOKENS if is_long else SHORT_TOKENS
-            group.create_task(_async_send(place, score, number, tokens, began_at))
+            group.create_task(_async_send(testbed, score, number, tokens, fault_at))
             number += 1
             await asyncio.sleep(1 / REQUESTS_PER_SECOND)
     return score
 
 
-async def _async_break(place: _Place, fault: Fault, began_at: float) -> None:
+async def _async_inject(testbed: _Testbed, fault: Fault, fault_at: float) -> None:
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(began_at - loop.time())
-    await fault.begin(place)
-    await asyncio.sleep(began_at + FAULT_SECONDS - loop.time())
-    await fault.end(place)
+    await asyncio.sleep(fault_at - loop.time())
+    await fault.inject(testbed)
+    await asyncio.sleep(fault_at + FAULT_SECONDS - loop.time())
+    await fault.clear(testbed)
 
 
 async def _async_send(
-    place: _Place, score: Score, number: int, tokens: int, began_at: float
+    testbed: _Testbed, score: Score, number: int, tokens: int, fault_at: float
 ) -> None:
-    site, loop = place.site, asyncio.get_running_loop()
+    site, loop = testbed.site, asyncio.get_running_loop()
     accounts = list(site.tokens.values())
-    sent = loop.time() - began_at
+    sent = loop.time() - fault_at
     result = await async_complete(
-        place.balancer.choose().callers,
+        testbed.balancer.choose().callers,
         accounts[number % len(accounts)],
         site.plan.model,
         make_prompt(f"bay {number}", tokens),
@@ -223,19 +227,24 @@
                 *(async_measure(Path(folder) / s, s, name) for s in SYSTEMS)
             )
         for system, score in zip(SYSTEMS, scores, strict=True):
-            share, back = score.get_share(), score.get_back_seconds()
-            high = score.get_high_seconds()
-            print(f"{name:15} {system:13} {share:6.3f} {back:7.2f} {high:7.2f}")
-            sums.append(f"{name}_{system}_whole={share:.3f}")
-            sums.append(f"{name}_{system}_back_s={back:.2f}")
-            sums.append(f"{name}_{system}_p95_s={high:.2f}")
+            success_rate, recovery = (
+                score.get_success_rate(),
+                score.get_recovery_seconds(),
+            )
+            p95 = score.get_p95_seconds()
+            print(
+                f"{name:15} {system:13} {success_rate:6.3f} {recovery:7.2f} {p95:7.2f}"
+            )
+            sums.append(f"{name}_{system}_whole={success_rate:.3f}")
+            sums.append(f"{name}_{system}_back_s={recovery:.2f}")
+            sums.append(f"{name}_{system}_p95_s={p95:.2f}")
     print(" ".join(sums))
 
 
 def main() -> None:
-    """Run all faults, or those named."""
+    """Run the given faults, by default all."""
     parser = argparse.ArgumentParser(prog="script/measure faults", description=__doc__)
-    parser.add_argument("fault", nargs="*", default=list(FAULTS), help="which faults")
+    parser.add_argument("fault", nargs="*", default=list(FAULTS), help="faults to run")
     asyncio.run(_async_main(parser.parse_args().fault))
 
 
--- a/libraries/bench/tests/test_budget_runs.py
+++ b/libraries/bench/tests/test_budget_runs.py
@@ -1,4 +1,4 @@
-"""Proof that the randomised runs of the shared budget see faults."""
+"""Tests that the simulation of the shared retry budget detects faults."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 SEEDS = range(1, 16)
 
 
-def count_only_who_is_there(members, now):
+def count_present_hosts(members, now):
     return members.count_hosts()
 
 
@@ -19,10 +19,10 @@
     [
         (requests_const, "BUDGET_FIRST_WINDOW_SLACK_SHARE", 0.75, SEEDS),
         (membership_const, "STARTUP_HOSTS_PER_SEED", 1, (151, 155)),
-        (SeedMembership, "get_max_host_count", count_only_who_is_there, SEEDS),
+        (SeedMembership, "get_max_host_count", count_present_hosts, SEEDS),
     ],
 )
-def test_a_budget_without_a_safeguard_is_found_out(
+def test_budget_without_a_safeguard_exceeds_the_limit(
     monkeypatch, owner, name, fault, seeds
 ):
     monkeypatch.setattr(owner, name, fault)
@@ -30,9 +30,10 @@
 
 
 @pytest.mark.parametrize("seed", [157, 163, 694])
-def test_repeats_a_window_apart_do_not_fall_into_one(seed):
-    """All hosts spend their parts at one moment, and again just a window later.
+def test_retries_one_window_apart_stay_within_the_limit(seed):
+    """All hosts spend their parts at once, and again exactly one window later.
 
-    The rule's window holds both ends, so both lots counted. Found at these seeds.
+    The window of the limit includes both ends, so both bursts count. These seeds
+    reproduce it.
     """
     assert not run_seed("budget", seed).violation
--- a/libraries/bench/tests/test_days.py
+++ b/libraries/bench/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Variants of the code and pairs of plays."""
+"""Tests of variants, paired comparison and varied sites."""
 
 import math
 import tomllib
@@ -21,8 +21,8 @@
     )
 
 
-def test_every_mechanism_of_the_table_still_stands_in_the_code():
-    """A mechanism was rewritten since, and would be played as if it were off."""
+def test_every_ablation_edit_applies_to_the_code():
+    """An edit that no longer applies would leave the mechanism enabled."""
     variants = load_variants(ROOT / "docs" / "ablations.toml")
     assert len(variants) > 10
     for variant in variants:
@@ -32,18 +32,18 @@
 
 
 @pytest.mark.parametrize("source", ["a = 2\n", "a = 1\na = 1\n", "    a = 1\n"])
-def test_an_edit_changes_lines_that_stand_once_or_nothing(source):
+def test_edit_fails_unless_its_lines_occur_exactly_once(source):
     with pytest.raises(EditError):
         Edit("file", "a = 1", "a = 3").apply(source)
 
 
-def test_an_edit_that_leaves_no_python_is_refused():
+def test_edit_that_leaves_invalid_syntax_fails():
     with pytest.raises(EditError):
         Edit("file", "a = 1", "a =").apply("a = 1\n")
 
 
-def test_changes_are_taken_by_day_and_seed():
-    """Days differ more than changes do: only the same day and seed is compared."""
+def test_change_is_computed_over_pairs_of_day_and_seed():
+    """Days vary more than the effect: only plays of the same day and seed compare."""
     before = [build("main", 0.9, seed=1), build("main", 0.5, seed=2)]
     after = [build("new", 0.92, seed=1), build("new", 0.54, seed=2)]
     alone = build("new", 0.1, seed=3)
@@ -57,7 +57,7 @@
     assert "| new | +0.030 ± 0.010 (2) | 0 |" in table
 
 
-def test_plays_are_read_as_they_were_written(tmp_path):
+def test_plays_round_trip_through_the_file(tmp_path):
     played = build("main", 0.9)
     write_play(tmp_path / "plays", played)
     assert read_plays(tmp_path / "plays") == [played]
@@ -72,8 +72,8 @@
 """
 
 
-def test_a_varied_site_has_other_figures_by_its_seed_alone():
-    """Constants fitted to the sites we know would pass unseen without such ones."""
+def test_varied_site_is_determined_by_its_seed():
+    """Varied sites reveal constants that are overfitted to the known sites."""
     one, other = (tomllib.loads(vary_site(SITE, seed)) for seed in (1, 2))
     assert vary_site(SITE, 1) == vary_site(SITE, 1)
     assert one["traffic"] != other["traffic"]
--- a/libraries/bench/tests/test_impairments.py
+++ b/libraries/bench/tests/test_impairments.py
@@ -1,4 +1,4 @@
-"""Tests of the days of impairments and of their table."""
+"""Tests of the generated impairment days and their result table."""
 
 import json
 import tomllib
@@ -18,13 +18,13 @@
     return folder
 
 
-def test_the_committed_days_are_those_that_are_written(written):
+def test_committed_days_match_the_generated_ones(written):
     for path in written.rglob("*.toml"):
         committed = COMMITTED / path.relative_to(written)
         assert committed.read_text("utf-8") == path.read_text("utf-8"), path.name
 
 
-def test_a_pair_has_the_others_before_within_and_after_the_first(written):
+def test_pair_repeats_the_others_before_during_and_after_the_first(written):
     text = (written / "pairs" / "compact-scale_in.toml").read_text("utf-8")
     [day] = tomllib.loads(text)["day"]
     [first] = day["faults"]
@@ -33,13 +33,13 @@
     assert before < began < within < ended < after < ended + 1.0
 
 
-def test_twice_the_strength_of_a_share_ends_at_the_whole():
+def test_doubled_share_is_capped_at_one():
     assert days.double("herd_kill", {"share": 0.55})["share"] == 1.0
     assert days.double("garble", {"x": 0.6, "share": 0.1})["x"] == 1.0
     assert days.double("burst", {"x": 1.7})["x"] == 3.4
 
 
-def test_the_class_of_the_longest_prompts_is_filled_in_for_a_site(written, tmp_path):
+def test_placeholder_for_the_longest_class_is_filled_in_for_a_site(written, tmp_path):
     site = tmp_path / "site.toml"
     site.write_text('classes = [{name = "a", worth = 1}, {name = "b", worth = 9}]')
     day = written / "pairs" / "lossy-hot_key.toml"
@@ -49,8 +49,8 @@
     assert classes == {"b"}
 
 
-def test_a_rule_is_read_from_the_own_entry_of_the_journal(tmp_path):
-    """A newer entry of a play elsewhere is copied in while a day is played."""
+def test_broken_rules_are_read_from_the_journal_entry_of_the_play(tmp_path):
+    """The journal may receive entries of other plays while a day is played."""
     own, other = tmp_path / "1.json", tmp_path / "2.json"
     own.write_text(json.dumps({"why": "own", "days": [{"rules": {"CONFIG": 1}}]}))
     other.write_text(json.dumps({"why": "other", "days": [{"rules": {}}]}))
@@ -58,7 +58,7 @@
     assert plays.broken_rules({other}, "own") == (plays.NO_RESULT,)
 
 
-def test_the_table_names_broken_rules_and_what_was_not_run():
+def test_table_shows_broken_rules_and_missing_plays():
     table = plays.format_table(
         [
             plays.Play("one", "pairs/x", 0.5, ("LEAK",)),
--- a/libraries/bench/tests/test_losses.py
+++ b/libraries/bench/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Each lost request has one cause, by what its host logged of its end."""
+"""Tests of the classification of lost requests by their log lines."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 def read(fields):
     line = f"  12.5 h1 at=1.0 up=24.5 host=h1 event=request_ended request_id=a {fields}"
-    (request,) = read_losses(["no line of a host", line])
+    (request,) = read_losses(["not a log line", line])
     return request
 
 
@@ -36,7 +36,7 @@
         ("outcome=answered status=500 aim=0.2", "failed by its target"),
     ],
 )
-def test_a_lost_request_has_the_cause_that_its_host_saw(fields, cause):
+def test_cause_of_a_lost_request_follows_from_its_log_line(fields, cause):
     request = read(fields)
     assert find_cause(request) == cause
     assert (request.at, request.host) == (12.5, "h1")
--- a/libraries/bench/tests/test_model_runs.py
+++ b/libraries/bench/tests/test_model_runs.py
@@ -1,4 +1,4 @@
-"""Randomised runs of the life cycle with fixed seeds."""
+"""Simulation of the request life cycle with fixed seeds."""
 
 import pytest
 
@@ -12,11 +12,11 @@
 
 
 @pytest.mark.parametrize("first", range(0, 400, 100))
-def test_every_request_ends_once_in_time_with_its_own_text(strict, first):
-    """Engines die and freeze, frames come late and doubled, the host is paused.
+def test_every_request_ends_once_in_time_with_the_correct_text(strict, first):
+    """Engines crash and hang, frames arrive late or twice, the host process pauses.
 
-    Whatever comes in whichever order, each caller gets one end by its deadline, text
-    that is the start of its own answer, the whole of it where the end says so, and no
-    engine keeps memory for it.
+    In any order of events, each caller gets exactly one end by its deadline and a
+    prefix of its own answer, the complete answer if the end says so, and no engine
+    keeps memory for the request.
     """
     assert all(run_model_requests(seed) > 0 for seed in range(first, first + 100))
--- a/libraries/bench/tests/test_sweeps.py
+++ b/libraries/bench/tests/test_sweeps.py
@@ -1,4 +1,4 @@
-"""Tables of sweeps from the journal's entries."""
+"""Tests of the tables of sweeps in journal entries."""
 
 import json
 
@@ -44,20 +44,20 @@
     return {**entry, **fields}
 
 
-def test_rows_have_both_figures_of_each_size_and_what_is_reckoned():
+def test_rows_have_median_maximum_and_extrapolation():
     sweep = read_sweep(build_entry())
     assert sweep.sizes == (30, 100)
-    assert sweep.aimed == 321
-    assert [figure.name for figure in sweep.figures] == [
+    assert sweep.target_size == 321
+    assert [metric.name for metric in sweep.metrics] == [
         "entry: processor %",
         "entry: kB a second",
         "serving after all were killed, ms",
     ]
-    assert sweep.figures[2].by_size == ((500.0, 500.0), (7500.0, 7500.0))
-    assert sweep.figures[2].reckoned == 30159.0
+    assert sweep.metrics[2].by_size == ((500.0, 500.0), (7500.0, 7500.0))
+    assert sweep.metrics[2].extrapolated == 30159.0
 
 
-def test_what_is_over_its_budget_and_what_broke_a_rule_is_said():
+def test_exceeded_budgets_and_broken_rules_are_shown():
     entry = build_entry()
     entry["days"][1]["rules"] = {"DRAIN": 3}
     text = format_sweep(read_sweep(entry))
@@ -66,12 +66,12 @@
     assert "rules broken: sweep-100: DRAIN" in text
 
 
-def test_an_entry_without_a_table_is_refused():
+def test_entry_without_a_table_raises():
     with pytest.raises(ValueError, match="1b82e08d"):
         read_sweep(build_entry(digest="no table"))
 
 
-def test_the_journal_is_read_and_the_last_sweep_is_drawn(tmp_path, capsys, monkeypatch):
+def test_sweeps_of_the_journal_are_printed_and_plotted(tmp_path, capsys, monkeypatch):
     folder = tmp_path / "journal"
     folder.mkdir()
     (folder / "1.json").write_text(json.dumps(build_entry()))
