--- a/libraries/bench/tarragonward_bench/soak_configuration.py
+++ b/libraries/bench/tarragonward_bench/soak_configuration.py
@@ -115,7 +115,9 @@
     def _check_host(self, host: _Host) -> None:
         """Admit work where allowed; the number served by must never fall."""
         state = host.history.state
-        if state is None or (host.admitted is None and host.history.is_below_floor):
+        if state is None or (
+            host.admitted is None and host.history.is_below_fencing_floor
+        ):
             return
         floor = host.history.floor if host.admitted is None else host.admitted
         assert state.number >= floor, "the number fell"
@@ -170,18 +172,18 @@
         host = _Host()
         self._hosts[self._random.randrange(HOSTS)] = host
         replica = self._pick_replica()
-        host.history.take_snapshot(self._build_truth(self._shown[replica]))
+        host.history.apply_snapshot(self._build_truth(self._shown[replica]))
         for peer in self._hosts:
             if peer is not host and self._random.random() > LOST:
                 self._give(peer.history, host.history)
         for engine in self._engines.values():
-            host.history.raise_floor(engine.fencing)
+            host.history.raise_fencing_floor(engine.fencing)
 
     def _read_log(self, host: _Host, replica: int) -> int:
         """Do what ConfigurationTask does with one replica; return its last entry."""
         history, shown = host.history, self._shown[replica]
         if history.state is None:
-            history.take_snapshot(self._build_truth(shown))
+            history.apply_snapshot(self._build_truth(shown))
             return shown
         last = history.get_last_entry()
         after = history.sequence if last is None else last.sequence - 1
@@ -202,12 +204,12 @@
             self._post(lambda: self._take(asker, decode_entries(data)))
         else:
             state = giver.state
-            self._post(lambda: asker.take_snapshot(state))
+            self._post(lambda: asker.apply_snapshot(state))
 
     def _take(self, history: ConfigurationHistory, entries: list[LogEntry]) -> None:
         """Take entries over, and push what was new to another host."""
         taken = history.extend(entries)
-        new = [judgement.entry for judgement in taken.judgements]
+        new = [entry_result.entry for entry_result in taken.entry_results]
         if new:
             other = self._pick_host().history
             self._post(lambda: self._take(other, new))
@@ -232,10 +234,10 @@
         reported = EngineOrderState(engine.fencing, engine.models)
         match decide_order(order, reported, engine.checks_fencing):
             case OrderDecision.CATCH_UP:
-                host.history.raise_floor(engine.fencing)
+                host.history.raise_fencing_floor(engine.fencing)
             case OrderDecision.SEND:
                 self._post(lambda: engine.take(order))
-            case OrderDecision.LOOK_THEN_SEND:
+            case OrderDecision.VERIFY_THEN_SEND:
                 newest = max(self._read_log(host, r) for r in range(REPLICAS))
                 is_same = host.history.state.number == order.fencing
                 if newest >= host.history.sequence and is_same:
--- a/libraries/config/tarragonward_config/__init__.py
+++ b/libraries/config/tarragonward_config/__init__.py
@@ -1,4 +1,4 @@
-"""A process's settings, and the configuration that operators publish."""
+"""Settings of a process, and the configuration that operators publish."""
 
 from .document import (
     ClientAccount,
@@ -13,7 +13,7 @@
 from .history import (
     ConfigurationHistory,
     Outcome,
-    Taken,
+    UpdateResult,
     decode_entries,
     encode_entries,
     parse_entry,
@@ -27,7 +27,7 @@
 )
 from .patches import (
     ConfigurationState,
-    Judgement,
+    EntryResult,
     LogEntry,
     PatchRecord,
     Verdict,
@@ -35,7 +35,7 @@
     apply_entry,
     build_state,
     compute_digest,
-    judge_entry,
+    evaluate_entry,
 )
 from .settings import Limits, Settings, load_settings
 
@@ -46,7 +46,7 @@
     "ConfigurationState",
     "EngineOrder",
     "EngineOrderState",
-    "Judgement",
+    "EntryResult",
     "Limits",
     "LogEntry",
     "Model",
@@ -56,7 +56,7 @@
     "PatchRecord",
     "Service",
     "Settings",
-    "Taken",
+    "UpdateResult",
     "Target",
     "Verdict",
     "apply_entries",
@@ -68,7 +68,7 @@
     "decode_entries",
     "encode_entries",
     "hash_token",
-    "judge_entry",
+    "evaluate_entry",
     "load_settings",
     "parse_configuration",
     "parse_entry",
--- a/libraries/config/tarragonward_config/const.py
+++ b/libraries/config/tarragonward_config/const.py
@@ -1,4 +1,4 @@
-"""Hold the names, units and defaults of settings and published configuration."""
+"""Define the keys, limits and defaults of settings and configuration."""
 
 from __future__ import annotations
 
@@ -67,6 +67,6 @@
 
 MIN_PEER_KEY_BYTES = 16
 
-MAX_HELD_ENTRIES = 512
-MAX_HELD_ENTRY_BYTES = 256 * 1024
+MAX_RETAINED_ENTRIES = 512
+MAX_RETAINED_ENTRY_BYTES = 256 * 1024
 MAX_VERDICTS = 64
--- a/libraries/config/tarragonward_config/document.py
+++ b/libraries/config/tarragonward_config/document.py
@@ -1,4 +1,4 @@
-"""Check the published configuration and hold it as typed data."""
+"""Validate the published configuration and convert it to typed data."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class ClientAccount:
-    """A client account; tokens are kept as SHA-256 in hex."""
+    """A client account; token_hashes are hexadecimal SHA-256 hashes."""
 
     name: str
     token_hashes: tuple[str, ...] = field(repr=False)
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Model:
-    """A model; context_tokens is the longest prompt and answer together."""
+    """A model; context_tokens limits the sum of prompt and answer."""
 
     name: str
     version: str
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """One operation of a plain service.
+    """An operation of a service.
 
-    not_run_statuses are the HTTP statuses by which the service promises that it did
-    not run the call.
+    not_run_statuses are the HTTP statuses with which the service guarantees that it
+    did not run the call.
     """
 
     name: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A plain service and its operations by name."""
+    """A service that is not a model engine, and its operations by name."""
 
     name: str
     operations: MappingProxyType[str, Operation]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """A back end; kv_tokens is an engine's KV memory, and 0 for a service's."""
+    """An engine or a service's target; kv_tokens is the engine's KV cache size."""
 
     name: str
     kind: str
@@ -84,9 +84,9 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One published configuration, read only.
+    """A published configuration, read-only.
 
-    parallel_loads is how many engines may load weights at once, None without a bound.
+    parallel_loads is how many engines may load weights at once; None is unlimited.
     """
 
     client_accounts: MappingProxyType[str, ClientAccount]
@@ -96,16 +96,16 @@
     parallel_loads: int | None = None
 
     def find_account(self, token: str) -> ClientAccount | None:
-        """Return the account that a bearer token belongs to.
+        """Return the account of a bearer token.
 
-        Every hash is compared, each in constant time, so that the time taken tells
-        nothing of the tokens.
+        All hashes are compared, each in constant time, so that the time taken reveals
+        nothing about the tokens.
         """
-        wanted = hash_token(token)
+        expected = hash_token(token)
         found = None
         for account in self.client_accounts.values():
             for token_hash in account.token_hashes:
-                if hmac.compare_digest(wanted, token_hash):
+                if hmac.compare_digest(expected, token_hash):
                     found = account
         return found
 
@@ -114,12 +114,12 @@
         return [t for t in self.targets.values() if model in t.models]
 
     def find_operation(self, service: str, operation: str) -> Operation | None:
-        """Return an operation of a plain service, or None if it is not published."""
+        """Return an operation of a service, or None if it is not published."""
         found = self.services.get(service)
         return None if found is None else found.operations.get(operation)
 
     def get_service_targets(self, service: str) -> list[Target]:
-        """Return the targets of a plain service."""
+        """Return the targets of a service."""
         return [
             t
             for t in self.targets.values()
@@ -128,7 +128,7 @@
 
 
 def hash_token(token: str) -> str:
-    """Return what is published of a bearer token."""
+    """Return the hash that is published for a bearer token."""
     return hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
@@ -220,15 +220,15 @@
     source: str = "configuration",
     previous: tuple[dict[str, Any], Configuration] | None = None,
 ) -> Configuration:
-    """Return a published document as typed data.
+    """Convert a published document to typed data.
 
-    previous is an earlier document that was valid, with its typed data: entries that
-    are the same objects in both are not checked and built anew. Raise
-    ConfigurationError where the document is not valid or does not fit itself, such as
-    an engine of a model that is not published.
+    previous is an earlier valid document and its typed data: entries that are the same
+    object in both documents are reused without validation. Raise ConfigurationError if
+    the document is not valid or has dangling references, such as an engine of a model
+    that is not published.
     """
     old_document, old = previous or ({}, EMPTY_CONFIGURATION)
-    changed, kept = _part_changed(document, old_document)
+    changed, unchanged = _split_unchanged(document, old_document)
     try:
         checked = DOCUMENT_SCHEMA(changed)
     except vol.Invalid as err:
@@ -239,7 +239,7 @@
                 document[section],
                 _map(checked[section], build),
                 getattr(old, section),
-                kept[section],
+                unchanged[section],
             )
             for section, build in BUILDERS.items()
         },
@@ -249,35 +249,37 @@
     return configuration
 
 
-def _part_changed(
+def _split_unchanged(
     document: Any, old_document: dict[str, Any]
 ) -> tuple[Any, dict[str, set[str]]]:
-    """Return the document without entries that the old one has, and their names."""
-    kept: dict[str, set[str]] = {section: set() for section in BUILDERS}
+    """Return the document without its unchanged entries, and the names of those."""
+    unchanged: dict[str, set[str]] = {section: set() for section in BUILDERS}
     if not isinstance(document, dict):
-        return document, kept
+        return document, unchanged
     changed = dict(document)
     for section in BUILDERS:
         entries, old_entries = document.get(section), old_document.get(section, {})
         if isinstance(entries, dict):
-            kept[section] = {n for n, e in entries.items() if old_entries.get(n) is e}
+            unchanged[section] = {
+                n for n, e in entries.items() if old_entries.get(n) is e
+            }
             changed[section] = {
                 name: entry
                 for name, entry in entries.items()
-                if name not in kept[section]
+                if name not in unchanged[section]
             }
-    return changed, kept
+    return changed, unchanged
 
 
 def _merge(
     entries: dict[str, Any],
     built: MappingProxyType[str, Any],
     old: MappingProxyType[str, Any],
-    kept: set[str],
+    unchanged: set[str],
 ) -> MappingProxyType[str, Any]:
-    """Return the typed entries in the document's order."""
+    """Merge reused and newly built entries, in the order of the document."""
     return MappingProxyType(
-        {name: old[name] if name in kept else built[name] for name in entries}
+        {name: old[name] if name in unchanged else built[name] for name in entries}
     )
 
 
--- a/libraries/config/tarragonward_config/history.py
+++ b/libraries/config/tarragonward_config/history.py
@@ -1,4 +1,4 @@
-"""Decide what of the platform and the peers to put in force: never an older number."""
+"""Apply configuration updates from the platform and peers, never an older one."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from . import const as c
 from .patches import (
     ConfigurationState,
-    Judgement,
+    EntryResult,
     LogEntry,
     PatchRecord,
     compute_digest,
-    judge_entry,
+    evaluate_entry,
 )
 
 __all__ = [
     "ConfigurationHistory",
     "Outcome",
-    "Taken",
+    "UpdateResult",
     "decode_entries",
     "encode_entries",
     "parse_entry",
@@ -32,27 +32,27 @@
 
 
 class Outcome(Enum):
-    """What became of entries or of a snapshot that came in."""
+    """The outcome of applying a snapshot or log entries."""
 
     FORK = "fork"
     GAP = "gap"
     NOTHING_NEW = "nothing new"
-    TAKEN = "taken"
+    APPLIED = "taken"
 
 
 @dataclass(frozen=True)
-class Taken:
-    """The outcome, and the judgements of the entries that were new."""
+class UpdateResult:
+    """The outcome of an update, and the results of its new entries."""
 
     outcome: Outcome
-    judgements: tuple[Judgement, ...] = ()
+    entry_results: tuple[EntryResult, ...] = ()
 
 
 class ConfigurationHistory:
-    """The newest state known to one host, its last entries and their verdicts.
+    """The newest configuration state of a host, recent log entries and verdicts.
 
-    The floor is the highest fencing number that an engine reported: a number that was
-    in force somewhere. Below it this host knows that its own state is stale.
+    floor is the highest fencing number reported by an engine, and so a number that was
+    in force on some host. If its own number is lower, this host's state is stale.
     """
 
     def __init__(self) -> None:
@@ -65,64 +65,64 @@
 
     @property
     def sequence(self) -> int:
-        """Return the last entry looked at, or -1 where there is no state yet."""
+        """Return the sequence of the last processed entry, or -1 without a state."""
         return -1 if self.state is None else self.state.sequence
 
     @property
-    def is_below_floor(self) -> bool:
-        """Tell whether a higher number is known to have been in force."""
+    def is_below_fencing_floor(self) -> bool:
+        """Return whether a higher number is known to have been in force."""
         return self.state is None or self.state.number < self.floor
 
-    def raise_floor(self, number: int) -> None:
-        """Note a fencing number that an engine reported."""
+    def raise_fencing_floor(self, number: int) -> None:
+        """Raise the floor to a fencing number reported by an engine."""
         self.floor = max(self.floor, number)
 
-    def take_snapshot(self, state: ConfigurationState) -> Taken:
-        """Take over a whole state where it is newer; its earlier entries are unknown.
+    def apply_snapshot(self, state: ConfigurationState) -> UpdateResult:
+        """Apply a snapshot if it is newer; retained entries are discarded then.
 
-        A stale replica, or a platform that came back with an older snapshot, shows an
-        old state. Symptom: a patch that was in force is undone. The log only grows,
-        so its length tells which is newer; refusing the shorter one is enough.
+        A stale replica, or a platform restored from an older snapshot, returns an old
+        state, which would undo a patch that was in force. The log only grows, so a
+        state with a lower sequence is older and is refused.
         """
         current = self.state
         if current is not None and state.sequence <= current.sequence:
             is_same = state.sequence < current.sequence or (
                 compute_digest(state) == self.digest
             )
-            return Taken(Outcome.NOTHING_NEW if is_same else Outcome.FORK)
+            return UpdateResult(Outcome.NOTHING_NEW if is_same else Outcome.FORK)
         if current is not None and state.number < current.number:
-            return Taken(Outcome.FORK)
+            return UpdateResult(Outcome.FORK)
         self._entries.clear()
         self._sizes.clear()
-        self._put_in_force(state)
-        return Taken(Outcome.TAKEN)
+        self._activate(state)
+        return UpdateResult(Outcome.APPLIED)
 
-    def remember(self, entry: LogEntry) -> None:
-        """Keep the entry at a snapshot's own sequence, to tell a forked log by."""
+    def record_snapshot_entry(self, entry: LogEntry) -> None:
+        """Retain the entry at a snapshot's sequence, to detect a forked log."""
         if not self._entries and entry.sequence == self.sequence:
             self._append(entry)
 
-    def extend(self, entries: Sequence[LogEntry]) -> Taken:
-        """Take over the entries that are new, in the log's order.
+    def extend(self, entries: Sequence[LogEntry]) -> UpdateResult:
+        """Apply the entries that are new, in the order of the log.
 
-        A log restored from an old backup grows past our number with other patches.
-        Symptom: two hosts hold different documents under one number. Entries that are
-        known already must be the same; one that is not makes all of them refused.
+        A log restored from an old backup may grow past this host's sequence with other
+        patches, and two hosts would have different documents under one number. If an
+        entry differs from a retained one with its sequence, all entries are refused.
         """
         known = {entry.sequence: entry for entry in self._entries}
         ordered = sorted(entries, key=lambda entry: entry.sequence)
         if any(known.get(e.sequence, e) != e for e in ordered):
-            return Taken(Outcome.FORK)
+            return UpdateResult(Outcome.FORK)
         new = [entry for entry in ordered if entry.sequence > self.sequence]
         if not new:
-            return Taken(Outcome.NOTHING_NEW)
+            return UpdateResult(Outcome.NOTHING_NEW)
         state = self.state
         if state is None or new[0].sequence != state.sequence + 1:
-            return Taken(Outcome.GAP)
+            return UpdateResult(Outcome.GAP)
         return self._apply(state, new)
 
     def get_entries_after(self, sequence: int) -> tuple[LogEntry, ...] | None:
-        """Return all entries after a sequence, or None where some are not held."""
+        """Return all entries after a sequence, or None if some are not retained."""
         if sequence >= self.sequence:
             return ()
         if not self._entries or self._entries[0].sequence > sequence + 1:
@@ -130,25 +130,27 @@
         return tuple(entry for entry in self._entries if entry.sequence > sequence)
 
     def get_last_entry(self) -> LogEntry | None:
-        """Return the entry at this host's own sequence, where it is held."""
+        """Return the last retained entry, if any."""
         return self._entries[-1] if self._entries else None
 
-    def _apply(self, state: ConfigurationState, new: list[LogEntry]) -> Taken:
-        judgements = []
+    def _apply(self, state: ConfigurationState, new: list[LogEntry]) -> UpdateResult:
+        entry_results = []
         for entry in new:
             try:
-                judgement = judge_entry(state, entry)
+                entry_result = evaluate_entry(state, entry)
             except ConfigurationError:
                 break
-            state = judgement.state
-            judgements.append(judgement)
+            state = entry_result.state
+            entry_results.append(entry_result)
             self._append(entry)
-        # Records only: a judgement holds the whole state that it led to.
-        self.verdicts.extend(judgement.build_record() for judgement in judgements)
-        self._put_in_force(state)
-        return Taken(Outcome.TAKEN, tuple(judgements))
+        # Keep records only: an EntryResult references the whole state after the entry.
+        self.verdicts.extend(
+            entry_result.build_record() for entry_result in entry_results
+        )
+        self._activate(state)
+        return UpdateResult(Outcome.APPLIED, tuple(entry_results))
 
-    def _put_in_force(self, state: ConfigurationState) -> None:
+    def _activate(self, state: ConfigurationState) -> None:
         invariants.check(
             self.state is None or state.number >= self.state.number,
             "number_in_force_never_falls",
@@ -162,18 +164,18 @@
         self._entries.append(entry)
         self._sizes.append(len(encode_entries([entry])))
         while len(self._entries) > 1 and (
-            len(self._entries) > c.MAX_HELD_ENTRIES
-            or sum(self._sizes) > c.MAX_HELD_ENTRY_BYTES
+            len(self._entries) > c.MAX_RETAINED_ENTRIES
+            or sum(self._sizes) > c.MAX_RETAINED_ENTRY_BYTES
         ):
             self._entries.popleft()
             self._sizes.popleft()
 
 
 def encode_entries(entries: Sequence[LogEntry]) -> bytes:
-    """Return entries as the JSON that the platform publishes them in.
+    """Encode entries as JSON, in the form that the platform publishes.
 
-    msgpack between hosts gives lists back as tuples. Symptom: the schema refuses on
-    one host what it accepts on another. The platform's own form is the same for all.
+    msgpack between hosts decodes lists as tuples, so the schema would refuse on one
+    host what it accepts on another. JSON gives the same result on all hosts.
     """
     return orjson.dumps(
         [
@@ -184,7 +186,7 @@
 
 
 def decode_entries(data: bytes) -> list[LogEntry]:
-    """Return entries from JSON; raise ConfigurationError where they are none."""
+    """Decode entries from JSON; raise ConfigurationError if they are not valid."""
     try:
         return [parse_entry(item) for item in orjson.loads(data)]
     except (orjson.JSONDecodeError, KeyError, TypeError) as err:
@@ -192,7 +194,7 @@
 
 
 def parse_entry(item: dict) -> LogEntry:
-    """Return an entry of the published log; raise ConfigurationError if it is none."""
+    """Parse a published log entry; raise ConfigurationError if it is not valid."""
     try:
         entry = LogEntry(item["sequence"], item["base"], tuple(item["operations"]))
     except (KeyError, TypeError) as err:
--- a/libraries/config/tarragonward_config/orders.py
+++ b/libraries/config/tarragonward_config/orders.py
@@ -1,4 +1,4 @@
-"""Decide what each engine should have loaded, and whether to order it to."""
+"""Build the load orders of engines and decide whether to send them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class LoadedModel:
-    """One model that an engine should have, with its version and adapters."""
+    """A model that an engine should load, with its version and adapters."""
 
     name: str
     version: str
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True)
 class EngineOrder:
-    """What one engine should have; fencing is the configuration's number in force.
+    """The models an engine should load; fencing is the configuration's number.
 
-    It follows from the published document alone, so two hosts with the same number
-    can only give the same order.
+    The order depends only on the published document, so hosts with the same number
+    always build the same order.
     """
 
     engine: str
@@ -40,7 +40,7 @@
     models: tuple[LoadedModel, ...]
 
     def build_body(self) -> dict[str, Any]:
-        """Return the order as the engine takes it."""
+        """Return the JSON body of the order."""
         return {
             "fencing": self.fencing,
             "models": {
@@ -55,9 +55,9 @@
 
 @dataclass(frozen=True)
 class EngineOrderState:
-    """What an engine reports of the last order that it took.
+    """The last order accepted by an engine, as reported by it.
 
-    is_loading tells that it still reads the weights that the order names.
+    is_loading is set while it is still loading the weights of the order.
     """
 
     fencing: int
@@ -66,7 +66,7 @@
 
     @classmethod
     def parse(cls, report: Any) -> EngineOrderState | None:
-        """Return the state in a load report, or None where it holds none."""
+        """Parse the state in a load report; return None if it has none."""
         orders = report.get("orders") if isinstance(report, dict) else None
         if not isinstance(orders, dict) or type(orders.get("fencing")) is not int:
             return None
@@ -78,25 +78,25 @@
         )
 
     def has(self, order: EngineOrder) -> bool:
-        """Return whether what the order names was taken, loaded or not."""
+        """Return whether the order's models were accepted, loaded or not."""
         return self.models == order.build_body()["models"]
 
     def has_loaded(self, order: EngineOrder) -> bool:
-        """Return whether what the order names is there, ready to serve."""
+        """Return whether the order's models are loaded and ready to serve."""
         return self.has(order) and not self.is_loading
 
 
 class OrderDecision(Enum):
-    """What to do about one engine now."""
+    """What to do about an engine's order."""
 
     NOTHING = "nothing"
     SEND = "send"
-    LOOK_THEN_SEND = "look, then send"
+    VERIFY_THEN_SEND = "look, then send"
     CATCH_UP = "catch up"
 
 
 def build_orders(configuration: Configuration, number: int) -> dict[str, EngineOrder]:
-    """Return the order of each engine under the number in force, by engine name."""
+    """Return the order of each engine for this configuration number, by name."""
     return {
         target.name: EngineOrder(
             target.name, number, _list_models(configuration, target)
@@ -116,15 +116,15 @@
 def decide_order(
     order: EngineOrder, reported: EngineOrderState | None, checks_fencing: bool
 ) -> OrderDecision:
-    """Decide about one engine from what it reports.
+    """Decide whether to send an order, given the state that the engine reports.
 
-    An engine that reports a higher number shows that this host's own is stale: it
-    sends nothing and catches up. An engine that ignores fencing would take an old
-    host's order; there an order goes out only after a fresh look at the service.
+    A higher number reported by the engine shows that this host's configuration is
+    stale: it sends nothing and catches up. An engine that ignores fencing would accept
+    an outdated order, so it gets one only after a fresh read of the configuration.
     """
     if reported is not None and reported.fencing > order.fencing:
         return OrderDecision.CATCH_UP
     if reported is not None and reported.has(order):
         if reported.fencing == order.fencing:
             return OrderDecision.NOTHING
-    return OrderDecision.SEND if checks_fencing else OrderDecision.LOOK_THEN_SEND
+    return OrderDecision.SEND if checks_fencing else OrderDecision.VERIFY_THEN_SEND
--- a/libraries/config/tarragonward_config/patches.py
+++ b/libraries/config/tarragonward_config/patches.py
@@ -1,4 +1,4 @@
-"""Decide which published patches are in force: a pure function of the log."""
+"""Apply published patches; the result is a pure function of the log."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 __all__ = [
     "ConfigurationState",
-    "Judgement",
+    "EntryResult",
     "LogEntry",
     "PatchRecord",
     "Verdict",
@@ -26,13 +26,13 @@
     "apply_entry",
     "build_state",
     "compute_digest",
-    "judge_entry",
+    "evaluate_entry",
 ]
 
 DIGEST_BYTES = 16
 MAX_REASON_CHARACTERS = 200
-# What an operator's operations may raise in the library, whatever is in them.
-PLAIN_OPERATIONS = frozenset({"add", "remove", "replace", "test"})
+IN_PLACE_OPERATIONS = frozenset({"add", "remove", "replace", "test"})
+# All exceptions that arbitrary operations may raise in jsonpatch.
 INVALID_PATCH_ERRORS = (
     jsonpatch.JsonPatchException,
     jsonpatch.JsonPointerException,
@@ -47,7 +47,7 @@
 
 
 class Verdict(Enum):
-    """What became of a patch."""
+    """The verdict on a patch."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
@@ -56,9 +56,9 @@
 
 @dataclass(frozen=True)
 class LogEntry:
-    """A published patch: its place in the log and the number it was written against.
+    """A published patch: its log sequence and the number it was written against.
 
-    operations are those of RFC 6902 (JSON Patch).
+    operations are JSON Patch operations (RFC 6902).
     """
 
     sequence: int
@@ -68,10 +68,10 @@
 
 @dataclass(frozen=True)
 class ConfigurationState:
-    """The configuration after a part of the log.
+    """The configuration after a prefix of the log.
 
-    sequence is the last entry looked at; number is the last entry accepted, which is
-    the number in force and the fencing number.
+    sequence is that of the last processed entry; number is the sequence of the last
+    accepted entry. It identifies the configuration in force and is the fencing number.
     """
 
     sequence: int
@@ -81,8 +81,8 @@
 
 
 @dataclass(frozen=True)
-class Judgement:
-    """What became of one entry: the state after it, and why it was refused if so."""
+class EntryResult:
+    """The result of an entry: the state after it, the verdict and its reason."""
 
     state: ConfigurationState
     entry: LogEntry
@@ -90,14 +90,14 @@
     reason: str = ""
 
     def build_record(self) -> PatchRecord:
-        """Return what operators look at later; it holds no state."""
+        """Return a record for operators, which does not reference the state."""
         entry = self.entry
         return PatchRecord(entry.sequence, entry.base, self.verdict, self.reason)
 
 
 @dataclass(frozen=True)
 class PatchRecord:
-    """A patch's place, the number it was written against, and what became of it."""
+    """A patch's sequence, base number and verdict, for operators."""
 
     sequence: int
     base: int
@@ -106,7 +106,7 @@
 
 
 def build_state(sequence: int, number: int, document: Any) -> ConfigurationState:
-    """Return the state that a snapshot holds; raise ConfigurationError if invalid."""
+    """Return the state of a snapshot; raise ConfigurationError if it is invalid."""
     if not 0 <= number <= sequence:
         raise ConfigurationError(f"snapshot: number {number} at sequence {sequence}")
     return ConfigurationState(
@@ -117,19 +117,19 @@
 def apply_entry(
     state: ConfigurationState, entry: LogEntry
 ) -> tuple[ConfigurationState, Verdict]:
-    """Return the state after one more entry, and what became of the entry.
+    """Return the state after the next entry, and the verdict on it.
 
-    Raise ConfigurationError where the entry is not the next one in the log.
+    Raise ConfigurationError if the entry is not the next one in the log.
     """
-    judgement = judge_entry(state, entry)
-    return judgement.state, judgement.verdict
+    entry_result = evaluate_entry(state, entry)
+    return entry_result.state, entry_result.verdict
 
 
-def judge_entry(state: ConfigurationState, entry: LogEntry) -> Judgement:
-    """Judge the log's next entry: a pure function, so that all hosts agree.
+def evaluate_entry(state: ConfigurationState, entry: LogEntry) -> EntryResult:
+    """Evaluate the next log entry: a pure function, so that all hosts agree.
 
-    A patch written against another number than the one in force changes nothing.
-    Raise ConfigurationError where the entry is not the next one in the log.
+    A patch written against another number than the current one changes nothing.
+    Raise ConfigurationError if the entry is not the next one in the log.
     """
     if entry.sequence != state.sequence + 1:
         raise ConfigurationError(
@@ -137,7 +137,9 @@
         )
     if entry.base != state.number:
         reason = f"written against {entry.base}, but {state.number} was in force"
-        return Judgement(_skip(state, entry), entry, Verdict.STALE, reason)
+        return EntryResult(
+            _build_rejected_state(state, entry), entry, Verdict.STALE, reason
+        )
     try:
         document = apply_operations(state.document, entry.operations)
         configuration = parse_configuration(
@@ -145,24 +147,27 @@
         )
     except INVALID_PATCH_ERRORS as err:
         reason = f"{type(err).__name__}: {err}"[:MAX_REASON_CHARACTERS]
-        return Judgement(_skip(state, entry), entry, Verdict.INVALID, reason)
+        return EntryResult(
+            _build_rejected_state(state, entry), entry, Verdict.INVALID, reason
+        )
     accepted = ConfigurationState(
         entry.sequence, entry.sequence, document, configuration
     )
-    return Judgement(accepted, entry, Verdict.ACCEPTED)
+    return EntryResult(accepted, entry, Verdict.ACCEPTED)
 
 
 def apply_operations(
     document: dict[str, Any], operations: Sequence[dict[str, Any]]
 ) -> dict[str, Any]:
-    """Return the document after operations; it shares what they do not name.
+    """Return the patched document, which shares unchanged entries with the original.
 
-    A copy of the whole document for each patch doubles its memory and holds up every
-    stream of the host. Only the entries that are named are copied, where that is sure:
-    operations that move or copy, or that name a whole section, copy all.
+    Copying the whole document for each patch would double its memory and block the
+    event loop, and so all streams of the host. Only the entries that the operations
+    name are copied. Move and copy operations, and those on a whole section, fall back
+    to a full copy.
     """
     pointers = [jsonpatch.JsonPointer(op["path"]).parts for op in operations]
-    is_plain = all(op["op"] in PLAIN_OPERATIONS for op in operations)
+    is_plain = all(op["op"] in IN_PLACE_OPERATIONS for op in operations)
     if not is_plain or any(len(parts) < 2 for parts in pointers):
         return jsonpatch.apply_patch(document, list(operations))
     copied = dict(document)
@@ -174,7 +179,7 @@
             entries = copied[section] = dict(entries)
         if name in entries and entries[name] is document[section].get(name):
             entries[name] = copy.deepcopy(entries[name])
-    # Values that an operation adds are changed by later ones; the entry must not be.
+    # Later operations may modify values that earlier ones added, so those are copied.
     own = copy.deepcopy(list(operations))
     return jsonpatch.apply_patch(copied, own, in_place=True)
 
@@ -182,9 +187,9 @@
 def apply_entries(
     state: ConfigurationState, entries: Iterable[LogEntry]
 ) -> ConfigurationState:
-    """Return the state after the entries that are new to it, in the log's order.
+    """Return the state after applying the new entries in the order of the log.
 
-    Entries already looked at are left out, so replays and overlaps change nothing.
+    Entries already processed are skipped, so replays and overlaps change nothing.
     Raise ConfigurationError at a gap.
     """
     for entry in sorted(entries, key=lambda item: item.sequence):
@@ -194,12 +199,14 @@
 
 
 def compute_digest(state: ConfigurationState) -> bytes:
-    """Return what tells this state's document from another one at its sequence."""
+    """Return a digest of the document, to detect a fork at the same sequence."""
     text = orjson.dumps(state.document, option=orjson.OPT_SORT_KEYS)
     return hashlib.sha256(text).digest()[:DIGEST_BYTES]
 
 
-def _skip(state: ConfigurationState, entry: LogEntry) -> ConfigurationState:
+def _build_rejected_state(
+    state: ConfigurationState, entry: LogEntry
+) -> ConfigurationState:
     return ConfigurationState(
         entry.sequence, state.number, state.document, state.configuration
     )
--- a/libraries/config/tarragonward_config/settings.py
+++ b/libraries/config/tarragonward_config/settings.py
@@ -1,4 +1,4 @@
-"""Read and check the settings of one process from a TOML file."""
+"""Read and validate the settings of a process from a TOML file."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 __all__ = ["Limits", "Settings", "describe_invalid", "load_settings"]
 
-MAX_SHOWN_CHARACTERS = 120
-BOUNDED_LIMITS = (
+MAX_VALUE_CHARACTERS = 120
+LIMIT_BOUNDS = (
     (c.CONF_TIME_LIMIT_SECONDS, c.CONF_MAX_TIME_LIMIT_SECONDS),
     (c.CONF_MAX_BODY_BYTES, c.CONF_MAX_BODIES_BYTES),
 )
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What one host allows; times in seconds, sizes in bytes."""
+    """The limits of a host; times in seconds, sizes in bytes."""
 
     drain_timeout_seconds: float = c.DEFAULT_DRAIN_TIMEOUT_SECONDS
     key_retention_seconds: float = c.DEFAULT_KEY_RETENTION_SECONDS
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """The settings of one daemon; credentials are read from the files named."""
+    """The settings of a daemon, with the credentials read from their files."""
 
     name: str
     region: str
@@ -70,7 +70,7 @@
 
 def _number(minimum: float, maximum: float) -> Callable[[Any], float]:
     def check(value: Any) -> float:
-        # Written so that TOML's nan, which is neither below nor above, is refused.
+        # A chained comparison, so that nan, which TOML allows, is refused too.
         is_number = type(value) in (int, float) and minimum <= value <= maximum
         if not is_number:
             raise vol.Invalid(f"expected a number from {minimum} to {maximum}")
@@ -147,7 +147,7 @@
 def describe_invalid(
     source: str, data: Any, error: vol.Invalid, schema: vol.Schema | None = None
 ) -> str:
-    """Return, a line for each error, the source, key, what was found and allowed."""
+    """Return a line per error with source, key, value found and values allowed."""
     errors = error.errors if isinstance(error, vol.MultipleInvalid) else [error]
     return "\n".join(_describe_one(source, data, one, schema) for one in errors)
 
@@ -176,15 +176,15 @@
 
 
 def shorten(text: str) -> str:
-    """Return a value's text for a message, without the middle where it is long."""
-    if len(text) <= MAX_SHOWN_CHARACTERS:
+    """Truncate the middle of a long value for a message."""
+    if len(text) <= MAX_VALUE_CHARACTERS:
         return text
-    half = MAX_SHOWN_CHARACTERS // 2
+    half = MAX_VALUE_CHARACTERS // 2
     return f"{text[:half]}...{text[-half:]}"
 
 
 def load_settings(path: Path) -> Settings:
-    """Return the settings in a file; raise SettingsError where they are not valid."""
+    """Load settings from a file; raise SettingsError if they are not valid."""
     try:
         data = tomllib.loads(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as err:
@@ -214,12 +214,12 @@
 
 
 def _build_limits(path: Path, given: dict[str, Any]) -> Limits:
-    """Return the limits; refuse a limit above the bound that it is under.
+    """Return the limits; raise SettingsError if one exceeds its upper bound.
 
-    A default gives way to the bound that the file names.
+    A default is lowered to an upper bound that is set in the file.
     """
     limits = Limits(**given)
-    for lower, upper in BOUNDED_LIMITS:
+    for lower, upper in LIMIT_BOUNDS:
         found, allowed = getattr(limits, lower), getattr(limits, upper)
         if found > allowed and lower in given:
             raise SettingsError(
--- a/libraries/config/tests/test_history.py
+++ b/libraries/config/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Tests of what a host takes over of the platform and its peers."""
+"""Tests for configuration updates from the platform and from peers."""
 
 import gc
 import weakref
@@ -17,7 +17,7 @@
     build_state,
     decode_entries,
     encode_entries,
-    judge_entry,
+    evaluate_entry,
 )
 from tarragonward_config import const as c
 from tarragonward_core import invariants
@@ -46,7 +46,7 @@
 
 def make_history(length=8):
     history = ConfigurationHistory()
-    history.take_snapshot(build_state(0, 0, DOCUMENT))
+    history.apply_snapshot(build_state(0, 0, DOCUMENT))
     history.extend(LOG[:length])
     return history
 
@@ -57,15 +57,15 @@
 
 def test_an_older_snapshot_of_a_stale_replica_changes_nothing():
     history = make_history()
-    assert history.take_snapshot(make_state(5)).outcome is Outcome.NOTHING_NEW
+    assert history.apply_snapshot(make_state(5)).outcome is Outcome.NOTHING_NEW
     assert history.state.number == 8
 
 
-def test_a_log_restored_from_a_backup_and_grown_again_is_refused_as_a_fork():
-    """The platform comes back with an old log, and operators publish others on top.
+def test_a_log_that_diverged_after_a_restore_is_refused_as_a_fork():
+    """The platform is restored from a backup, and operators publish other patches.
 
-    Entries up to 9 arrive, 8 of them known here; 6 to 8 are other patches now. Taking
-    9 would leave this host with another document than a new one, under one number.
+    Entries up to 9 arrive. 8 are known here, but 6 to 8 differ. Applying entry 9 would
+    leave this host with another document than a new host, under the same number.
     """
     history = make_history()
     forked = LOG[:5] + [set_weight(n, n - 1, 90) for n in range(6, 10)]
@@ -77,54 +77,54 @@
 def test_another_document_under_the_same_sequence_is_a_fork():
     history = make_history()
     other = apply_entries(make_state(7), [set_weight(8, 7, 90)])
-    assert history.take_snapshot(other).outcome is Outcome.FORK
+    assert history.apply_snapshot(other).outcome is Outcome.FORK
 
 
-def test_a_longer_log_with_a_lower_number_is_never_put_in_force():
+def test_a_longer_log_with_a_lower_number_is_never_applied():
     history = make_history()
     lower = build_state(12, 3, DOCUMENT)
-    assert history.take_snapshot(lower).outcome is Outcome.FORK
+    assert history.apply_snapshot(lower).outcome is Outcome.FORK
     assert history.state.number == 8
 
 
-def test_a_gap_takes_nothing_and_a_replay_changes_nothing():
+def test_gaps_and_replays_change_nothing():
     history = make_history(5)
     assert history.extend(LOG[6:]).outcome is Outcome.GAP
     assert history.extend(LOG[:5]).outcome is Outcome.NOTHING_NEW
-    assert history.extend(reversed(LOG)).outcome is Outcome.TAKEN
+    assert history.extend(reversed(LOG)).outcome is Outcome.APPLIED
     assert history.state == make_state(8)
 
 
-def test_a_stale_patch_is_kept_with_its_number_and_reason():
+def test_a_stale_patch_is_recorded_with_its_base_and_reason():
     history = make_history()
     history.extend([set_weight(9, 7, 50)])
-    judgement = history.verdicts[-1]
-    assert judgement.verdict is Verdict.STALE
-    assert (judgement.sequence, judgement.base) == (9, 7)
-    assert judgement.reason == "written against 7, but 8 was in force"
+    entry_result = history.verdicts[-1]
+    assert entry_result.verdict is Verdict.STALE
+    assert (entry_result.sequence, entry_result.base) == (9, 7)
+    assert entry_result.reason == "written against 7, but 8 was in force"
     assert (history.state.number, history.sequence) == (8, 9)
 
 
-def test_a_fencing_number_above_ours_shows_that_we_are_stale():
+def test_a_higher_fencing_number_marks_the_state_as_stale():
     history = make_history(5)
-    assert not history.is_below_floor
-    history.raise_floor(7)
-    assert history.is_below_floor
+    assert not history.is_below_fencing_floor
+    history.raise_fencing_floor(7)
+    assert history.is_below_fencing_floor
     history.extend(LOG[5:])
-    assert not history.is_below_floor
+    assert not history.is_below_fencing_floor
 
 
-def test_held_entries_are_bounded_and_what_is_gone_is_not_made_up():
+def test_retained_entries_are_bounded_and_dropped_ones_are_not_returned():
     history = make_history(0)
-    for n in range(1, c.MAX_HELD_ENTRIES + 50):
+    for n in range(1, c.MAX_RETAINED_ENTRIES + 50):
         history.extend([set_weight(n, n - 1, n)])
-    assert len(history._entries) == c.MAX_HELD_ENTRIES
+    assert len(history._entries) == c.MAX_RETAINED_ENTRIES
     assert history.get_entries_after(3) is None
     assert len(history.get_entries_after(history.sequence - 2)) == 2
 
 
-def test_entries_come_back_from_a_peer_the_same():
-    """A list in a patch must stay a list, or the schema refuses it on one host only."""
+def test_entries_round_trip():
+    """A list decoded as a tuple would be refused by the schema on one host only."""
     operation = {"op": "add", "path": "/models/m", "value": {"adapters": ["a", "b"]}}
     entry = LogEntry(1, 0, (operation,))
     assert decode_entries(encode_entries([entry])) == [entry]
@@ -150,22 +150,22 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.lists(OPERATION, max_size=3))
-def test_no_patch_whatever_is_in_it_escapes_its_verdict(operations):
-    """An operator's patch that raises in the library would stop every host's watch."""
+def test_any_patch_gets_a_verdict(operations):
+    """An unexpected exception would stop the configuration watch of every host."""
     state = build_state(0, 0, DOCUMENT)
-    judgement = judge_entry(state, LogEntry(1, 0, tuple(operations)))
-    if judgement.verdict is not Verdict.ACCEPTED:
-        assert judgement.state.document == DOCUMENT and judgement.reason
+    entry_result = evaluate_entry(state, LogEntry(1, 0, tuple(operations)))
+    if entry_result.verdict is not Verdict.ACCEPTED:
+        assert entry_result.state.document == DOCUMENT and entry_result.reason
 
 
-def test_states_no_longer_in_force_are_not_held():
-    """A day of patches goes by; only the newest configuration may stay in memory.
+def test_replaced_states_are_not_referenced():
+    """After many patches, only the newest configuration may stay in memory.
 
-    The verdicts that operators look at once held the whole state after each patch: 64
-    documents of some megabytes at the size to design for, in a budget of 32 MB.
+    Verdicts that reference the state after their patch would keep 64 documents of some
+    megabytes each, at the size to design for, in a memory budget of 32 MB.
     """
     history = ConfigurationHistory()
-    history.take_snapshot(build_state(0, 0, DOCUMENT))
+    history.apply_snapshot(build_state(0, 0, DOCUMENT))
     old = weakref.ref(history.state)
     history.extend([set_weight(n, n - 1, n) for n in range(1, 4)])
     middle = weakref.ref(history.state)
@@ -175,18 +175,18 @@
     assert [record.sequence for record in history.verdicts] == [1, 2, 3, 4]
 
 
-def test_applying_a_patch_leaves_its_entry_as_it_was_published():
-    """A patch adds a model and then changes it, in one.
+def test_applying_a_patch_does_not_modify_its_entry():
+    """A single patch adds a model and then changes it.
 
-    The added value is the entry's own object; changed in place, the entry no longer
-    equals the one that the platform shows, and a sound log is refused as forked.
+    The added value is an object of the entry. If it were modified in place, the entry
+    would differ from the published one, and a valid log would be refused as forked.
     """
     operations = (
         {"op": "add", "path": "/models/m", "value": {"context_tokens": 1}},
         {"op": "replace", "path": "/models/m/context_tokens", "value": 2},
     )
     history = ConfigurationHistory()
-    history.take_snapshot(build_state(0, 0, DOCUMENT))
+    history.apply_snapshot(build_state(0, 0, DOCUMENT))
     published = orjson.dumps(operations)
     history.extend([LogEntry(1, 0, operations)])
     assert orjson.dumps(operations) == published
--- a/libraries/config/tests/test_orders.py
+++ b/libraries/config/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of the orders to engines."""
+"""Tests for the load orders of engines."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 }
 
 
-def test_an_order_follows_from_the_document_and_its_number():
+def test_an_order_depends_only_on_the_document_and_its_number():
     assert ORDER.build_body() == {"fencing": 7, "models": MODELS}
     again = build_orders(parse_configuration(DOCUMENT), 7)
     assert again["engine-1"] == ORDER
@@ -42,22 +42,22 @@
 @pytest.mark.parametrize(
     ("reported", "checks", "ignores"),
     [
-        (None, OrderDecision.SEND, OrderDecision.LOOK_THEN_SEND),
+        (None, OrderDecision.SEND, OrderDecision.VERIFY_THEN_SEND),
         (
             EngineOrderState(6, MODELS),
             OrderDecision.SEND,
-            OrderDecision.LOOK_THEN_SEND,
+            OrderDecision.VERIFY_THEN_SEND,
         ),
-        (EngineOrderState(7, {}), OrderDecision.SEND, OrderDecision.LOOK_THEN_SEND),
+        (EngineOrderState(7, {}), OrderDecision.SEND, OrderDecision.VERIFY_THEN_SEND),
         (EngineOrderState(7, MODELS), OrderDecision.NOTHING, OrderDecision.NOTHING),
         (EngineOrderState(8, {}), OrderDecision.CATCH_UP, OrderDecision.CATCH_UP),
     ],
 )
-def test_what_an_engine_reports_decides(reported, checks, ignores):
+def test_decision_depends_on_the_reported_state(reported, checks, ignores):
     assert decide_order(ORDER, reported, checks_fencing=True) is checks
     assert decide_order(ORDER, reported, checks_fencing=False) is ignores
 
 
-def test_junk_in_a_report_is_no_state():
+def test_invalid_reports_give_no_state():
     for report in (None, {}, {"orders": 1}, {"orders": {"fencing": True}}):
         assert EngineOrderState.parse(report) is None
--- a/libraries/config/tests/test_patches.py
+++ b/libraries/config/tests/test_patches.py
@@ -1,4 +1,4 @@
-"""Tests of the verdicts on published patches."""
+"""Tests for the verdicts on published patches."""
 
 import pytest
 
@@ -28,11 +28,11 @@
     return LogEntry(sequence, base, (operation,))
 
 
-def test_two_operators_write_against_the_same_number():
-    """Two operators read number 0 and both publish; the second is refused.
+def test_the_second_of_two_patches_against_the_same_number_is_stale():
+    """Two operators read number 0 and both publish a patch.
 
-    The log orders them; the first is in force as number 1, the second was written
-    against 0, which is old by then. Nothing is merged, on any host.
+    The log orders the patches: the first becomes number 1, and the second is stale, as
+    it was written against number 0. Patches are never merged.
     """
     state = build_state(0, 0, DOCUMENT)
     state, first = apply_entry(state, set_weight(1, 0, 5))
--- a/libraries/config/tests/test_settings.py
+++ b/libraries/config/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings' checks, and of the examples that we ship."""
+"""Tests for the validation of settings, and for the shipped examples."""
 
 import json
 from pathlib import Path
@@ -42,7 +42,7 @@
     assert "k" * 32 not in repr(settings)
 
 
-def test_a_default_gives_way_to_the_bound_that_the_file_names(tmp_path):
+def test_a_default_is_lowered_to_its_bound_in_the_file(tmp_path):
     settings = load(tmp_path, VALID + "max_time_limit_seconds = 30")
     assert settings.limits.time_limit_seconds == 30
 
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(("line", "allowed"), LIMITS.items())
-def test_an_error_of_a_limit_names_key_found_and_allowed(tmp_path, line, allowed):
+def test_limit_errors_name_key_value_and_allowed_values(tmp_path, line, allowed):
     message = read_error(tmp_path, VALID + line)
     key, _, value = line.partition(" = ")
     assert f"limits.{key}: found {value}:" in message.replace("True", "true")
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize(("old", "new", "allowed"), REPLACED)
-def test_an_error_names_key_found_and_allowed(tmp_path, old, new, allowed):
+def test_errors_name_key_value_and_allowed_values(tmp_path, old, new, allowed):
     message = read_error(tmp_path, VALID.replace(old, new, 1))
     key, _, found = (new or old).partition(" = ")
     assert key.strip("[]") in message
@@ -90,7 +90,7 @@
     assert allowed in message
 
 
-def test_all_errors_are_shown_at_once(tmp_path):
+def test_all_errors_are_reported_at_once(tmp_path):
     text = VALID.replace('name = "entry-1"', 'name = ""') + "max_connections = -1"
     with pytest.raises(SettingsError) as caught:
         load(tmp_path, text)
@@ -101,7 +101,7 @@
     ("site", "domains", "engines", "hosts"),
     [("shelfwise", 3, 20, 9), ("camara", 3, 15, 7)],
 )
-def test_the_examples_are_valid_at_the_users_sizes(
+def test_examples_are_valid_and_have_the_expected_sizes(
     tmp_path, site, domains, engines, hosts
 ):
     folder = EXAMPLES / site
--- a/libraries/config/tests/test_sharing.py
+++ b/libraries/config/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Tests that sharing unchanged parts gives what a full copy gives."""
+"""Tests that sharing unchanged entries gives the same result as a full copy."""
 
 import copy
 
@@ -12,7 +12,7 @@
     LogEntry,
     Verdict,
     build_state,
-    judge_entry,
+    evaluate_entry,
     parse_configuration,
 )
 from tarragonward_config.patches import INVALID_PATCH_ERRORS, apply_operations
@@ -56,31 +56,31 @@
 
 @settings(max_examples=600, deadline=None, derandomize=True)
 @given(OPERATIONS)
-def test_a_patch_gives_the_same_document_and_changes_nothing_old(operations):
-    """One host took the patch over, another a snapshot: both must hold the same.
+def test_patched_document_equals_full_copy_and_original_is_unchanged(operations):
+    """A host that applied a patch and one that read a snapshot must have equal data.
 
-    Entries that a patch does not name are shared with the document before it. Were
-    one of them changed in place, the older state, and a verdict by it, would change.
+    Entries that a patch does not name are shared with the previous document. If one
+    were modified in place, the older state and verdicts based on it would change.
     """
-    # As they come from the platform, no two parts are one object.
+    # Decoded from JSON as from the platform, so that no objects are shared.
     old, own = (orjson.loads(orjson.dumps(data)) for data in (DOCUMENT, operations))
     expected = try_to(jsonpatch.apply_patch, old, copy.deepcopy(own))
     assert try_to(apply_operations, old, own) == expected
     assert (old, own) == (DOCUMENT, operations)
     state = build_state(0, 0, old)
-    judgement = judge_entry(state, LogEntry(1, 0, tuple(own)))
-    if judgement.verdict is Verdict.ACCEPTED:
-        whole = parse_configuration(copy.deepcopy(judgement.state.document))
-        assert judgement.state.configuration == whole
+    entry_result = evaluate_entry(state, LogEntry(1, 0, tuple(own)))
+    if entry_result.verdict is Verdict.ACCEPTED:
+        whole = parse_configuration(copy.deepcopy(entry_result.state.document))
+        assert entry_result.state.configuration == whole
     else:
         with pytest.raises(ConfigurationError):
             parse_configuration(expected)
 
 
-def test_entries_that_a_patch_does_not_name_are_not_built_anew():
+def test_entries_that_a_patch_does_not_name_are_reused():
     state = build_state(0, 0, copy.deepcopy(DOCUMENT))
     operation = {"op": "replace", "path": "/client_accounts/a/weight", "value": 9}
-    after = judge_entry(state, LogEntry(1, 0, (operation,))).state
+    after = evaluate_entry(state, LogEntry(1, 0, (operation,))).state
     before, now = state.configuration, after.configuration
     assert now.client_accounts["b"] is before.client_accounts["b"]
     assert (before.client_accounts["a"].weight, now.client_accounts["a"].weight) == (
--- a/libraries/daemon/tarragonward_daemon/configuration.py
+++ b/libraries/daemon/tarragonward_daemon/configuration.py
@@ -11,11 +11,11 @@
 from tarragonward_config import (
     ConfigurationHistory,
     EngineOrderState,
-    Judgement,
+    EntryResult,
     LogEntry,
     Outcome,
     PatchRecord,
-    Taken,
+    UpdateResult,
     Verdict,
     build_state,
     parse_entry,
@@ -98,8 +98,8 @@
 
     def record_fencing(self, number: int) -> None:
         """Record an engine's fencing number; a higher one proves this host's stale."""
-        self.history.raise_floor(number)
-        if self.history.is_below_floor:
+        self.history.raise_fencing_floor(number)
+        if self.history.is_below_fencing_floor:
             self._catch_up_requested.set()
 
     async def async_verify_newest(self) -> bool:
@@ -139,7 +139,7 @@
             await self._async_read_first_snapshot()
             await self.peers.async_pull_from_many()
             await self._async_read_fencing()
-            if not self.history.is_below_floor:
+            if not self.history.is_below_fencing_floor:
                 self._is_admitting = True
                 self._activate()
                 return
@@ -165,12 +165,12 @@
     async def _async_read_snapshot(self, replica: Address) -> None:
         data = await self._async_get(replica, SNAPSHOT_ROUTE, 0.0)
         state = build_state(data["sequence"], data["number"], data["document"])
-        self._apply_result(self.history.take_snapshot(state), str(replica))
+        self._apply_result(self.history.apply_snapshot(state), str(replica))
         if state.sequence > 0 and state.sequence == self.history.sequence:
             path = f"{LOG_ROUTE}?after={state.sequence - 1}&wait=0"
             entries = (await self._async_get(replica, path, 0.0))["entries"]
             for item in entries[:1]:
-                self.history.remember(parse_entry(item))
+                self.history.record_snapshot_entry(parse_entry(item))
 
     async def _async_read_log(self, replica: Address, wait: float) -> int:
         """Read new log entries; return the last sequence number of the log."""
@@ -194,7 +194,7 @@
 
     async def _async_take_checked(
         self, replica: Address, entries: list[LogEntry]
-    ) -> Taken:
+    ) -> UpdateResult:
         last = self.history.get_last_entry()
         if last is not None:
             path = f"{LOG_ROUTE}?after={last.sequence - 1}&wait=0"
@@ -204,29 +204,29 @@
         self._apply_result(taken, str(replica))
         return taken
 
-    def _apply_result(self, taken: Taken, source: str) -> None:
+    def _apply_result(self, taken: UpdateResult, source: str) -> None:
         """Activate an applied state; log and count refused patches and forks."""
-        for judgement in taken.judgements:
-            self._report_judgement(judgement)
+        for entry_result in taken.entry_results:
+            self._report_judgement(entry_result)
         if taken.outcome is Outcome.FORK:
             self._host.metrics.count("configuration_forks")
             log_event(
                 "configuration_fork", source=source, sequence=self.history.sequence
             )
-        if taken.outcome is Outcome.TAKEN:
+        if taken.outcome is Outcome.APPLIED:
             self._activate()
             self.peers.push(taken)
 
-    def _report_judgement(self, judgement: Judgement) -> None:
-        verdict = judgement.verdict
+    def _report_judgement(self, entry_result: EntryResult) -> None:
+        verdict = entry_result.verdict
         self._host.metrics.count("configuration_verdicts", verdict.value)
         log_event(
             "configuration_patch_judged",
-            sequence=judgement.entry.sequence,
-            base=judgement.entry.base,
+            sequence=entry_result.entry.sequence,
+            base=entry_result.entry.base,
             verdict=verdict.value,
             code=_get_code_number(verdict),
-            reason=judgement.reason or None,
+            reason=entry_result.reason or None,
         )
 
     def _activate(self) -> None:
@@ -252,7 +252,7 @@
             self._catch_up_requested.clear()
             if self._is_admitting:
                 await self.peers.async_pull_one()
-                if self.history.is_below_floor:
+                if self.history.is_below_fencing_floor:
                     await self.async_verify_newest()
 
     async def _async_read_fencing(self) -> None:
@@ -267,7 +267,7 @@
         chosen = engine_targets[: c.MAX_FENCING_READS]
         addresses = [engine.address for engine in chosen]
         for number in await _async_read_all_fencing(addresses):
-            self.history.raise_floor(number)
+            self.history.raise_fencing_floor(number)
 
     async def _async_get(self, replica: Address, path: str, wait: float) -> Any:
         timeout = wait + c.CONFIGURATION_READ_TIMEOUT_SECONDS
--- a/libraries/daemon/tarragonward_daemon/configuration_peers.py
+++ b/libraries/daemon/tarragonward_daemon/configuration_peers.py
@@ -14,7 +14,7 @@
     ConfigurationHistory,
     LogEntry,
     Outcome,
-    Taken,
+    UpdateResult,
     build_state,
     decode_entries,
     encode_entries,
@@ -70,7 +70,7 @@
         links: PeerLinks,
         membership: MembershipTask,
         history: ConfigurationHistory,
-        on_result: Callable[[Taken, str], None],
+        on_result: Callable[[UpdateResult, str], None],
     ) -> None:
         self._host = host
         self._links = links
@@ -89,9 +89,9 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def push(self, taken: Taken) -> None:
+    def push(self, taken: UpdateResult) -> None:
         """Push newly applied entries to the neighbours."""
-        entries = [judgement.entry for judgement in taken.judgements]
+        entries = [entry_result.entry for entry_result in taken.entry_results]
         if not entries:
             return
         update = self._build_update(tuple(entries), b"")
@@ -148,7 +148,7 @@
         if update.snapshot:
             data = orjson.loads(update.snapshot)
             state = build_state(update.sequence, update.number, data)
-            taken = self._history.take_snapshot(state)
+            taken = self._history.apply_snapshot(state)
         else:
             taken = self._history.extend(decode_entries(update.entries or b"[]"))
         self._on_result(taken, source)
@@ -223,7 +223,7 @@
         if sequence < 0 or sequence != self._history.sequence:
             return
         if digest != self._history.digest:
-            self._on_result(Taken(Outcome.FORK), source)
+            self._on_result(UpdateResult(Outcome.FORK), source)
 
 
 def choose_neighbours(
--- a/libraries/daemon/tarragonward_daemon/orders.py
+++ b/libraries/daemon/tarragonward_daemon/orders.py
@@ -29,7 +29,7 @@
 
 __all__ = ["OrderTask", "choose_watchers"]
 
-SENDING_DECISIONS = frozenset({OrderDecision.SEND, OrderDecision.LOOK_THEN_SEND})
+SENDING_DECISIONS = frozenset({OrderDecision.SEND, OrderDecision.VERIFY_THEN_SEND})
 GONE_STATES = frozenset({MemberState.DEAD, MemberState.LEAVING})
 
 
@@ -126,7 +126,7 @@
                 self._configuration.record_fencing(reported.fencing)
             case OrderDecision.SEND:
                 await self._async_send(engine, order)
-            case OrderDecision.LOOK_THEN_SEND:
+            case OrderDecision.VERIFY_THEN_SEND:
                 await self._async_verify_then_send(engine, order)
 
     async def _async_read_state(self, engine: Target) -> EngineOrderState | None:
