--- a/libraries/bench/tarragonward_bench/experiment/engine.py
+++ b/libraries/bench/tarragonward_bench/experiment/engine.py
@@ -122,17 +122,20 @@
         if self._is_in_pass or not self.engine.has_work:
             return
         self._is_in_pass = True
-        before = {work: work.read for work in self.engine.running}
+        before = {work: work.prefilled_tokens for work in self.engine.running}
         result = self.engine.begin_pass()
-        tokens = sum(work.read - before.get(work, 0) for work in set(result.read))
+        tokens = sum(
+            work.prefilled_tokens - before.get(work, 0)
+            for work in set(result.prefilled)
+        )
         end = now + result.seconds
-        self.passes.append(PassSpan(now, end, len(result.written), tokens))
+        self.passes.append(PassSpan(now, end, len(result.decoded), tokens))
         self._schedule(end, lambda: self._end(result, end))
 
     def _end(self, result: PassResult, now: float) -> None:
         self._is_in_pass = False
         read = self.engine.end_pass(result)
-        for work, _ in result.written:
+        for work, _ in result.decoded:
             self._emit_event(work, now)
         for work in dict.fromkeys(read):
             self._finish_prefill(work, now)
@@ -145,12 +148,16 @@
             if work not in self._retained_parts:
                 self.engine.remove(work)
             on_prefilled()
-        elif work in self._requests and not work.waits_for and not work.written:
+        elif (
+            work in self._requests
+            and not work.pending_parts
+            and not work.generated_tokens
+        ):
             self.emit_first_event(work, now)
 
     def emit_first_event(self, work: PassWork, now: float) -> None:
         """Emit the first event, after all engines have prefilled their parts."""
-        work.written += 1
+        work.generated_tokens += 1
         self._emit_event(work, now)
 
     def _emit_event(self, work: PassWork, now: float) -> None:
--- a/libraries/bench/tarragonward_bench/experiment/prompt.py
+++ b/libraries/bench/tarragonward_bench/experiment/prompt.py
@@ -185,10 +185,10 @@
             arrival.prompt_tokens,
             output_tokens,
             part_tokens=part_tokens,
-            waits_for=len(helpers),
+            pending_parts=len(helpers),
             hop_ms=site.sizes.hop_ms if helpers else 0.0,
             # The leader holds the parts of helpers that have no reservation.
-            ticket_tokens=part_tokens - arrival.prompt_tokens + reserved_total,
+            reserved_tokens=part_tokens - arrival.prompt_tokens + reserved_total,
         )
         request = EngineRequest(
             self._work, self._handle_event, self._handle_end, arrival.events
@@ -211,7 +211,7 @@
             0,
             part_tokens=tokens,
             is_part=True,
-            ticket_tokens=tokens,
+            reserved_tokens=tokens,
         )
         delay = self._fleet.site.get_delay(engine.zone, helper.zone)
 
@@ -230,10 +230,10 @@
         def receive_part() -> None:
             leader_work = self._work
             assert leader_work is not None
-            leader_work.waits_for -= 1
+            leader_work.pending_parts -= 1
             if (
-                leader_work.is_read
-                and not leader_work.waits_for
+                leader_work.is_prefilled
+                and not leader_work.pending_parts
                 and not self._has_ended
             ):
                 engine.emit_first_event(leader_work, self._fleet.now)
--- a/libraries/bench/tarragonward_bench/harm/limits.py
+++ b/libraries/bench/tarragonward_bench/harm/limits.py
@@ -7,7 +7,7 @@
 from tarragonward_gateway import const as gateway_const
 from tarragonward_gateway.limit_gossip import LimitGossip
 from tarragonward_placement import HostView, TargetLimits
-from tarragonward_standins.platform_checker import count_most_within
+from tarragonward_standins.platform_checker import count_max_in_window
 
 from ..hearing.world import Links, World
 from .host import HarmFleet, HarmHost, Section
@@ -169,7 +169,7 @@
         if target.rate is None:
             return
         allowed = FACTOR * target.rate * WINDOW_SECONDS + SLACK
-        most = count_most_within(sorted(target.counted), WINDOW_SECONDS)
+        most = count_max_in_window(sorted(target.counted), WINDOW_SECONDS)
         if most > allowed:
             self.broken.append(f"{most} of {allowed:g}, {target.rate:g} a second")
         self.allowed += target.rate * (self.world.now - target.named_at)
--- a/libraries/bench/tarragonward_bench/platform_demo.py
+++ b/libraries/bench/tarragonward_bench/platform_demo.py
@@ -27,9 +27,9 @@
         await site.async_setup()
         print(f"progress playing seconds={day.seconds} hosts={len(site.hosts)}")
         report = await PlatformDay(site, day).async_play()
-        for rule, request_id in report.broken[:MAX_SHOWN_FINDINGS]:
+        for rule, request_id in report.violations[:MAX_SHOWN_FINDINGS]:
             print(f"progress broken={rule} request={request_id}")
-        firsts = sorted(report.first_seconds)
+        firsts = sorted(report.first_event_seconds)
         if firsts:
             middle, high = firsts[len(firsts) // 2], firsts[int(len(firsts) * 0.95)]
             print(f"first event: n={len(firsts)} p50={middle:.3f} p95={high:.3f} s")
--- a/libraries/bench/tarragonward_bench/platform_troubles.py
+++ b/libraries/bench/tarragonward_bench/platform_troubles.py
@@ -30,7 +30,7 @@
     PlatformSite,
     describe_route,
 )
-from tarragonward_standins.platform_store import StoreTrouble
+from tarragonward_standins.platform_store import StoreFault
 
 __all__ = ["TroubledDay", "main"]
 
@@ -126,13 +126,13 @@
         excused: set[str] = set()
         for kind in self.drawn:
             excused |= EXCUSED_BY.get(kind, frozenset())
-        report.broken = [b for b in report.broken if b[0] not in excused]
+        report.violations = [b for b in report.violations if b[0] not in excused]
         return report
 
     async def _async_wait_free(self) -> None:
         with suppress(TimeoutError):
             async with asyncio.timeout(FREE_SECONDS):
-                while any(model.engine.tickets for model in self._site.models):
+                while any(model.engine.reservations for model in self._site.models):
                     await asyncio.sleep(FREE_STEP_SECONDS)
 
     def list_faults(self) -> list[str]:
@@ -152,8 +152,8 @@
 
     async def _async_leave(self) -> None:
         runner = self._random.choice(self._list_runners())
-        if not runner.is_leaving:
-            await runner.async_leave(LEAVE_SECONDS)
+        if not runner.is_draining:
+            await runner.async_drain(LEAVE_SECONDS)
 
     async def _async_fail(self) -> None:
         runners = self._random.sample(self._list_runners(), 3)
@@ -165,17 +165,17 @@
             runner.faults = RunnerFaults()
 
     async def _async_trouble_store(self) -> None:
-        self._site.store.trouble = self._random.choice(list(StoreTrouble))
-        self.drawn.append(self._site.store.trouble.value)
+        self._site.store.fault = self._random.choice(list(StoreFault))
+        self.drawn.append(self._site.store.fault.value)
         await asyncio.sleep(TROUBLE_SECONDS)
-        self._site.store.trouble = StoreTrouble.NONE
+        self._site.store.fault = StoreFault.NONE
 
     async def _async_trouble_door(self) -> None:
-        door = self._random.choice(self._site.hosts).door
-        door.trouble = self._random.choice(list(StoreTrouble))
-        self.drawn.append(door.trouble.value)
+        door = self._random.choice(self._site.hosts).store_endpoint
+        door.fault = self._random.choice(list(StoreFault))
+        self.drawn.append(door.fault.value)
         await asyncio.sleep(TROUBLE_SECONDS)
-        door.trouble = StoreTrouble.NONE
+        door.fault = StoreFault.NONE
 
     async def _async_drop_history(self) -> None:
         self._site.store.drop_history()
@@ -223,7 +223,7 @@
 
     async def _async_lose_packets(self) -> None:
         links = self._list_links(self._list_runners())
-        links += [host.door.proxy for host in self._site.hosts]
+        links += [host.store_endpoint.proxy for host in self._site.hosts]
         for link in links:
             link.faults.delay_seconds = LINK_DELAY_SECONDS
             link.faults.packet_loss_rate = LOST_SHARE
@@ -247,7 +247,9 @@
             link.blackhole_open_connections()
 
     async def _async_silence_store(self) -> None:
-        self._random.choice(self._site.hosts).door.proxy.blackhole_open_connections()
+        self._random.choice(
+            self._site.hosts
+        ).store_endpoint.proxy.blackhole_open_connections()
 
     async def _async_load_weights(self) -> None:
         self._random.choice(self._site.models).change_weights()
@@ -261,9 +263,9 @@
 
     async def _async_name_limit(self) -> None:
         runner = self._random.choice(self._list_runners())
-        runner.name_limit(self._random.choice(LIMITS_PER_SECOND))
+        runner.set_rate_limit(self._random.choice(LIMITS_PER_SECOND))
         await asyncio.sleep(LIMITED_SECONDS)
-        runner.name_limit(None)
+        runner.set_rate_limit(None)
 
     @staticmethod
     def _list_links(runners: Iterable[PlatformRunner]) -> list[FaultProxy]:
@@ -286,13 +288,13 @@
         report = await day.async_play()
         faults = day.list_faults()
         ends = {k: v for k, v in report.score.items() if k.startswith("status_")}
-        rules = dict(Counter(rule for rule, _ in report.broken))
-        held = sum(len(model.tickets.records) for model in site.models)
+        rules = dict(Counter(rule for rule, _ in report.violations))
+        held = sum(len(model.reservation_log.records) for model in site.models)
         line = f"{report.format_line()} reservations={held}"
         print(f"seed={seed} {line} {day.drawn} {ends} {rules}")
-        for line in (*faults[:5], *map(str, report.broken[:5])):
+        for line in (*faults[:5], *map(str, report.violations[:5])):
             print(f"    {line[:300]}")
-        return not (report.broken or faults)
+        return not (report.violations or faults)
 
 
 def main() -> None:
--- a/libraries/bench/tests/test_experiment.py
+++ b/libraries/bench/tests/test_experiment.py
@@ -167,7 +167,7 @@
     (outcome,) = run.outcomes
     assert outcome.is_complete and len(outcome.prefill_engines) > 1
     assert [node.engine.held_tokens for node in run.engines] == [0] * 8
-    assert not any(node.engine.tickets for node in run.engines)
+    assert not any(node.engine.reservations for node in run.engines)
 
 
 def test_only_repeatable_calls_are_retried(site, monkeypatch):
--- a/libraries/standins/tarragonward_standins/platform_checker.py
+++ b/libraries/standins/tarragonward_standins/platform_checker.py
@@ -8,38 +8,44 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from .platform_clients import PROMISES, Attempt, ClientRequest
-from .platform_model_runner import build_piece
-from .platform_runner import Arrival, LimitSpan
-from .platform_tickets import TicketRecord, judge_tickets
+from .platform_clients import NOT_RUN_STATUSES, Attempt, ClientRequest
+from .platform_model_runner import build_stream_event
+from .platform_reservations import ReservationRecord, check_reservations
+from .platform_runner import Arrival, RateLimitPeriod
 
-__all__ = ["Checker", "ConfigStep", "Rule", "count_crashes", "count_most_within"]
+__all__ = [
+    "Checker",
+    "ConfigVersion",
+    "Rule",
+    "find_crashed_runners",
+    "count_max_in_window",
+]
 
-APPLY_SECONDS = 2.0
+CONFIG_APPLY_SECONDS = 2.0
 DRAIN_SECONDS = 2.0
-GONE_SECONDS = 0.5
-GONE_ALLOWED = 3
-HELD_SECONDS = 0.5
-HELD_SHARE = 0.5
+DISCONNECT_GRACE_SECONDS = 0.5
+MAX_TOLERATED = 3
+TIMEOUT_GRACE_SECONDS = 0.5
+MAX_HELD_SHARE = 0.5
 STABLE_SECONDS = 3.0
-CRASHES_KNOWN = 3
-SENDS_AFTER_CRASHES = 3
+CRASHES_UNTIL_STOPPED = 3
+MAX_SENDS_ONCE_STOPPED = 3
 LIMIT_WINDOW_SECONDS = 4.0
-LIMIT_TOLD_SECONDS = 0.5
+LIMIT_NOTICE_SECONDS = 0.5
 LIMIT_FACTOR = 1.5
-LIMIT_SLACK = 5
-NOT_FOUND = (401, 404)
-FAR = 1e18
-WEIGHTS_LINE = re.compile(rb"^x-weight-versions: \d+\n")
+LIMIT_EXTRA_REQUESTS = 5
+DENIED_STATUSES = (401, 404)
+NEVER = 1e18
+WEIGHTS_FIELD = re.compile(rb"^x-weight-versions: \d+\n")
 
 Rule = str
 
 
 @dataclass(frozen=True)
-class ConfigStep:
+class ConfigVersion:
     """A version of the configuration: when it was acknowledged, what it allows."""
 
-    acked_at: float
+    acknowledged_at: float
     services_by_prefix: Mapping[str, frozenset[str]]
     tenants_by_key: Mapping[str, str]
 
@@ -50,11 +56,11 @@
 
     requests: Iterable[ClientRequest]
     arrivals: Iterable[Arrival]
-    steps: list[ConfigStep]
-    tickets: Iterable[TicketRecord] = ()
-    limits: Iterable[LimitSpan] = ()
+    config_versions: list[ConfigVersion]
+    reservations: Iterable[ReservationRecord] = ()
+    limits: Iterable[RateLimitPeriod] = ()
     now: float = 0.0
-    broken: list[tuple[Rule, str]] = field(default_factory=list)
+    violations: list[tuple[Rule, str]] = field(default_factory=list)
 
     def check(self) -> list[tuple[Rule, str]]:
         """Return the findings."""
@@ -69,16 +75,16 @@
             self._check_stream(request)
         for arrival in self.arrivals:
             if arrival.request_id not in sent:
-                self._note("UNASKED", arrival.request_id)
-        self._check_many(by_id)
+                self._add_violation("UNASKED", arrival.request_id)
+        self._check_tolerated(by_id)
         self._check_crashes()
-        for span in self.limits:
-            self._check_limit(span)
-        self.broken += judge_tickets(self.tickets, self.now)
-        return self.broken
+        for period in self.limits:
+            self._check_limit(period)
+        self.violations += check_reservations(self.reservations, self.now)
+        return self.violations
 
-    def _note(self, rule: Rule, request_id: str) -> None:
-        self.broken.append((rule, request_id))
+    def _add_violation(self, rule: Rule, request_id: str) -> None:
+        self.violations.append((rule, request_id))
 
     def _check_attempt(
         self, request: ClientRequest, attempt: Attempt, arrivals: list[Arrival]
@@ -86,10 +92,10 @@
         runs = [arrival for arrival in arrivals if arrival.has_run]
         if not request.plan.may_repeat:
             if len(runs) > 1:
-                self._note("TWICE", attempt.request_id)
-            if runs and attempt.is_whole and attempt.status in PROMISES:
-                self._note("REFUSED", attempt.request_id)
-        if attempt.is_whole and attempt.status // 100 == 2:
+                self._add_violation("TWICE", attempt.request_id)
+            if runs and attempt.is_complete and attempt.status in NOT_RUN_STATUSES:
+                self._add_violation("REFUSED", attempt.request_id)
+        if attempt.is_complete and attempt.status // 100 == 2:
             self._check_success(request, attempt, arrivals)
         for arrival in arrivals:
             self._check_arrival(request, attempt, arrival)
@@ -102,10 +108,10 @@
         seals = {f"{a.runner_id}.{a.request_id}" for a in arrivals if a.status == 200}
         is_mine = attempt.answer.get("x-request-id") == attempt.request_id
         if seal not in seals or not is_mine:
-            self._note("MIXED", attempt.request_id)
+            self._add_violation("MIXED", attempt.request_id)
         elif request.plan.kind != "stream":
             if attempt.body not in [a.body for a in arrivals]:
-                self._note("MIXED", attempt.request_id)
+                self._add_violation("MIXED", attempt.request_id)
 
     def _check_arrival(
         self, request: ClientRequest, attempt: Attempt, arrival: Arrival
@@ -118,84 +124,97 @@
             and all(headers.get(n.lower()) == v for n, v in plan.headers)
         )
         tenants = {
-            step.tenants_by_key.get(attempt.headers["x-key"]) for step in self.steps
+            version.tenants_by_key.get(attempt.headers["x-key"])
+            for version in self.config_versions
         }
         is_known = headers.get("x-tenant") in tenants - {None}
         if not is_same or "x-key" in headers or not is_known:
-            self._note("UNASKED", attempt.request_id)
+            self._add_violation("UNASKED", attempt.request_id)
         allowed = {
             service
-            for step in self.steps
-            for service in step.services_by_prefix.get(plan.route, ())
+            for version in self.config_versions
+            for service in version.services_by_prefix.get(plan.route, ())
         }
         if arrival.has_run and arrival.service not in allowed:
-            self._note("ROUTE", attempt.request_id)
-        left_at = arrival.runner_left_at
-        if left_at is not None and arrival.at > left_at + DRAIN_SECONDS:
+            self._add_violation("ROUTE", attempt.request_id)
+        withdrawn_at = arrival.runner_withdrawn_at
+        if withdrawn_at is not None and arrival.at > withdrawn_at + DRAIN_SECONDS:
             if arrival.status != 421:
-                self._note("DRAIN", attempt.request_id)
+                self._add_violation("DRAIN", attempt.request_id)
 
     def _check_config(self, request: ClientRequest, attempt: Attempt) -> None:
-        if not (attempt.is_whole and attempt.status in NOT_FOUND):
+        if not (attempt.is_complete and attempt.status in DENIED_STATUSES):
             return
         # Every version that may be in force while the request was under way allows it.
-        ends = [step.acked_at + APPLY_SECONDS for step in self.steps[1:]] + [FAR]
-        open_steps = [
-            step
-            for step, end in zip(self.steps, ends, strict=True)
-            if end >= attempt.sent_at and step.acked_at <= (attempt.ended_at or FAR)
+        ends = [
+            version.acknowledged_at + CONFIG_APPLY_SECONDS
+            for version in self.config_versions[1:]
+        ] + [NEVER]
+        possible_versions = [
+            version
+            for version, end in zip(self.config_versions, ends, strict=True)
+            if end >= attempt.sent_at
+            and version.acknowledged_at <= (attempt.ended_at or NEVER)
         ]
         key = attempt.headers["x-key"]
         if all(
-            request.plan.route in step.services_by_prefix and key in step.tenants_by_key
-            for step in open_steps
+            request.plan.route in version.services_by_prefix
+            and key in version.tenants_by_key
+            for version in possible_versions
         ):
-            self._note("CONFIG", attempt.request_id)
+            self._add_violation("CONFIG", attempt.request_id)
 
     def _check_stream(self, request: ClientRequest) -> None:
-        if request.plan.kind != "stream" or not request.pieces:
+        if request.plan.kind != "stream" or not request.received_events:
             return
-        pieces = [part + b"\n\n" for part in request.pieces.split(b"\n\n")[:-1]]
-        subject = request.plan.subject
-        for number, told in enumerate(pieces, 1):
-            piece = WEIGHTS_LINE.sub(b"", told)
-            is_last = piece == build_piece(subject, number, True)
-            if not is_last and piece != build_piece(subject, number, False):
-                self._note("ORDER", request.attempts[-1].request_id)
+        events = [
+            part + b"\n\n" for part in request.received_events.split(b"\n\n")[:-1]
+        ]
+        prompt_id = request.plan.prompt_id
+        for number, received in enumerate(events, 1):
+            event = WEIGHTS_FIELD.sub(b"", received)
+            is_last = event == build_stream_event(prompt_id, number, True)
+            if not is_last and event != build_stream_event(prompt_id, number, False):
+                self._add_violation("ORDER", request.attempts[-1].request_id)
                 return
         if request.is_success and not is_last:
-            self._note("ORDER", request.attempts[-1].request_id)
+            self._add_violation("ORDER", request.attempts[-1].request_id)
 
-    def _check_many(self, by_id: Mapping[str, list[Arrival]]) -> None:
+    def _check_tolerated(self, by_id: Mapping[str, list[Arrival]]) -> None:
         """Check the rules that allow a few: GONE, LOST and answers held too long."""
-        few: Counter[Rule] = Counter()
-        at_work = asked = held = lasted = 0
+        counts: Counter[Rule] = Counter()
+        still_running = abandoned = held = timed_out = 0
         for request in self.requests:
             for attempt in request.attempts:
-                end = attempt.ended_at or FAR
+                end = attempt.ended_at or NEVER
                 arrivals = by_id.get(attempt.request_id, [])
-                if attempt.has_left:
-                    few["GONE"] += any(a.at > end + GONE_SECONDS for a in arrivals)
+                if attempt.has_disconnected:
+                    counts["GONE"] += any(
+                        a.at > end + DISCONNECT_GRACE_SECONDS for a in arrivals
+                    )
                     runs = [a for a in arrivals if a.has_run]
-                    at_work += any(
-                        (a.ended_at or FAR) > end + GONE_SECONDS for a in runs
+                    still_running += any(
+                        (a.ended_at or NEVER) > end + DISCONNECT_GRACE_SECONDS
+                        for a in runs
                     )
-                    asked += bool(runs)
+                    abandoned += bool(runs)
                 elif not attempt.status and any(
-                    not a.has_broken_off and a.has_run for a in arrivals
+                    not a.is_aborted and a.has_run for a in arrivals
                 ):
-                    few["LOST"] += 1
+                    counts["LOST"] += 1
                 limit = attempt.sent_at + request.plan.timeout_seconds
                 if end > limit:
-                    lasted += 1
-                    held += end > limit + HELD_SECONDS
-        for rule, count in few.items():
-            if count > GONE_ALLOWED:
-                self._note(rule, f"{count} requests")
-        if asked >= GONE_ALLOWED and at_work > asked / 4:
-            self._note("GONE", f"{at_work} of {asked} still at work")
-        if lasted > GONE_ALLOWED and held > lasted * HELD_SHARE:
-            self._note("CONFIG", f"{held} of {lasted} held past the time limit")
+                    timed_out += 1
+                    held += end > limit + TIMEOUT_GRACE_SECONDS
+        for rule, count in counts.items():
+            if count > MAX_TOLERATED:
+                self._add_violation(rule, f"{count} requests")
+        if abandoned >= MAX_TOLERATED and still_running > abandoned / 4:
+            self._add_violation("GONE", f"{still_running} of {abandoned} still at work")
+        if timed_out > MAX_TOLERATED and held > timed_out * MAX_HELD_SHARE:
+            self._add_violation(
+                "CONFIG", f"{held} of {timed_out} held past the time limit"
+            )
 
     def _check_crashes(self) -> None:
         """Check that a request that crashes its runners is soon sent to none."""
@@ -205,35 +224,45 @@
             identity = account, arrival.target, arrival.body_hash
             by_request[identity].append(arrival)
         for arrivals in by_request.values():
-            ends = sorted(count_crashes(arrivals).values())
-            if len(ends) < CRASHES_KNOWN:
+            ends = sorted(find_crashed_runners(arrivals).values())
+            if len(ends) < CRASHES_UNTIL_STOPPED:
                 continue
-            known_at = ends[CRASHES_KNOWN - 1] + STABLE_SECONDS
+            known_at = ends[CRASHES_UNTIL_STOPPED - 1] + STABLE_SECONDS
             late = [arrival for arrival in arrivals if arrival.at > known_at]
-            if len(late) > SENDS_AFTER_CRASHES:
-                self._note("BUDGET", f"{len(late)} sends, {len(ends)} runners ended")
+            if len(late) > MAX_SENDS_ONCE_STOPPED:
+                self._add_violation(
+                    "BUDGET", f"{len(late)} sends, {len(ends)} runners ended"
+                )
 
-    def _check_limit(self, span: LimitSpan) -> None:
+    def _check_limit(self, period: RateLimitPeriod) -> None:
         """Check what reached a runner from the hosts that it had told its limit."""
         hosts = {a.request_id: a.node for r in self.requests for a in r.attempts}
-        told: dict[object, float] = {}
+        informed_at: dict[object, float] = {}
         counted: list[float] = []
         for arrival in sorted(self.arrivals, key=lambda arrival: arrival.at):
-            if arrival.runner_id != span.runner_id:
+            if arrival.runner_id != period.runner_id:
                 continue
             host = hosts.get(arrival.request_id)
-            is_told = told.get(host, FAR) + LIMIT_TOLD_SECONDS <= arrival.at
-            is_stable = span.began_at + STABLE_SECONDS <= arrival.at < span.ended_at
-            if is_told and is_stable:
+            is_informed = (
+                informed_at.get(host, NEVER) + LIMIT_NOTICE_SECONDS <= arrival.at
+            )
+            is_stable = period.began_at + STABLE_SECONDS <= arrival.at < period.ended_at
+            if is_informed and is_stable:
                 counted.append(arrival.at)
-            if arrival.limit_named_at is not None:
-                told[host] = min(told.get(host, FAR), arrival.limit_named_at)
-        allowed = LIMIT_FACTOR * span.rate * LIMIT_WINDOW_SECONDS + LIMIT_SLACK
-        if count_most_within(counted, LIMIT_WINDOW_SECONDS) > allowed:
-            self._note("LIMIT", f"{span.runner_id} named {span.rate:g} a second")
+            if arrival.limit_announced_at is not None:
+                informed_at[host] = min(
+                    informed_at.get(host, NEVER), arrival.limit_announced_at
+                )
+        allowed = (
+            LIMIT_FACTOR * period.rate * LIMIT_WINDOW_SECONDS + LIMIT_EXTRA_REQUESTS
+        )
+        if count_max_in_window(counted, LIMIT_WINDOW_SECONDS) > allowed:
+            self._add_violation(
+                "LIMIT", f"{period.runner_id} named {period.rate:g} a second"
+            )
 
 
-def count_most_within(times: Sequence[float], seconds: float) -> int:
+def count_max_in_window(times: Sequence[float], seconds: float) -> int:
     """Return the most of ordered times that lie in any span of so many seconds."""
     most = first = 0
     for last, at in enumerate(times):
@@ -243,7 +272,7 @@
     return most
 
 
-def count_crashes(arrivals: Iterable[Arrival]) -> dict[str, float]:
+def find_crashed_runners(arrivals: Iterable[Arrival]) -> dict[str, float]:
     """Return the runners that ended under one of the requests, and when each did."""
     ended: dict[str, float] = {}
     for arrival in arrivals:
--- a/libraries/standins/tarragonward_standins/platform_clients.py
+++ b/libraries/standins/tarragonward_standins/platform_clients.py
@@ -15,10 +15,10 @@
 
 CONNECT_SECONDS = 1.0
 FINAL_STATUSES = (400, 401, 404, 413, 431)
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 MILLISECONDS = 1_000
 BACKOFF_SECONDS = 0.05
-BODILESS = (204, 304)
+STATUSES_WITHOUT_BODY = (204, 304)
 EVENT_END = b"\n\n"
 
 Headers = dict[str, str]
@@ -39,10 +39,10 @@
     aim_seconds: float = 1.0
     timeout_seconds: float = 5.0
     retries: int = 1
-    subject: str = ""
+    prompt_id: str = ""
     is_resumable: bool = False
-    leaves_after: float | None = None
-    in_chunks: bool = False
+    disconnect_after_seconds: float | None = None
+    is_chunked: bool = False
 
     @property
     def may_repeat(self) -> bool:
@@ -58,14 +58,14 @@
     node: Address
     sent_at: float
     headers: Headers
-    last_id: int = 0
+    last_event_id: int = 0
     status: int = 0
     answer: Headers = field(default_factory=dict)
     body: bytes = b""
-    first_at: float | None = None
+    first_event_at: float | None = None
     ended_at: float | None = None
-    is_whole: bool = False
-    has_left: bool = False
+    is_complete: bool = False
+    has_disconnected: bool = False
     has_sent: bool = False
 
 
@@ -76,20 +76,20 @@
     plan: RequestPlan
     began_at: float
     attempts: list[Attempt] = field(default_factory=list)
-    pieces: bytes = b""
-    first_at: float | None = None
+    received_events: bytes = b""
+    first_event_at: float | None = None
     ended_at: float = 0.0
 
     @property
     def is_success(self) -> bool:
         """Return whether the last attempt brought the whole answer."""
         last = self.attempts[-1] if self.attempts else None
-        return last is not None and last.is_whole and last.status // 100 == 2
+        return last is not None and last.is_complete and last.status // 100 == 2
 
     @property
     def is_late(self) -> bool:
         """Return whether the answer, or a stream's first piece, came after its aim."""
-        first = self.first_at if self.plan.kind == "stream" else self.ended_at
+        first = self.first_event_at if self.plan.kind == "stream" else self.ended_at
         return first is None or first - self.began_at > self.plan.aim_seconds
 
 
@@ -103,11 +103,11 @@
 class PlatformClient:
     """One client: a kept connection, and retries on new ones."""
 
-    def __init__(self, pick_node: Callable[[], Address], key: str, seed: int) -> None:
-        self._pick_node = pick_node
+    def __init__(self, choose_host: Callable[[], Address], key: str, seed: int) -> None:
+        self._choose_host = choose_host
         self._key = key
         self._random = random.Random(seed)
-        self._kept: _Connection | None = None
+        self._idle_connection: _Connection | None = None
         self.requests: list[ClientRequest] = []
 
     async def async_request(self, plan: RequestPlan) -> ClientRequest:
@@ -118,7 +118,7 @@
         deadline = request.began_at + plan.deadline_seconds
         for number in range(plan.retries + 1):
             attempt = await self._async_attempt(request, deadline, is_new=number > 0)
-            wait = self._judge(plan, attempt, deadline - loop.time())
+            wait = self._compute_retry_delay(plan, attempt, deadline - loop.time())
             if wait is None:
                 break
             await asyncio.sleep(wait)
@@ -127,20 +127,22 @@
 
     def close(self) -> None:
         """Close the kept connection."""
-        if self._kept is not None:
-            self._kept.writer.close()
-            self._kept = None
+        if self._idle_connection is not None:
+            self._idle_connection.writer.close()
+            self._idle_connection = None
 
-    def _judge(self, plan: RequestPlan, attempt: Attempt, left: float) -> float | None:
+    def _compute_retry_delay(
+        self, plan: RequestPlan, attempt: Attempt, left: float
+    ) -> float | None:
         """Return how long to wait before one more attempt, None for no more."""
-        if left <= 0 or attempt.has_left:
+        if left <= 0 or attempt.has_disconnected:
             return None
-        if attempt.is_whole:
+        if attempt.is_complete:
             if attempt.status // 100 == 2 or attempt.status in FINAL_STATUSES:
                 return None
-            if attempt.status in PROMISES:
-                asked = float(attempt.answer.get("retry-after", BACKOFF_SECONDS))
-                return min(asked, left / 3)
+            if attempt.status in NOT_RUN_STATUSES:
+                retry_after = float(attempt.answer.get("retry-after", BACKOFF_SECONDS))
+                return min(retry_after, left / 3)
         if plan.may_repeat or not attempt.has_sent:
             return self._random.uniform(0, BACKOFF_SECONDS)
         return None
@@ -151,12 +153,12 @@
         loop = asyncio.get_running_loop()
         plan = request.plan
         attempt = Attempt(
-            f"{self._random.getrandbits(64):016x}", self._pick_node(), loop.time(), {}
+            f"{self._random.getrandbits(64):016x}", self._choose_host(), loop.time(), {}
         )
         request.attempts.append(attempt)
         leave_at = deadline
-        if plan.leaves_after is not None:
-            leave_at = min(leave_at, attempt.sent_at + plan.leaves_after)
+        if plan.disconnect_after_seconds is not None:
+            leave_at = min(leave_at, attempt.sent_at + plan.disconnect_after_seconds)
         connection = None
         is_kept = False
         try:
@@ -165,7 +167,7 @@
                 await self._async_send(connection, request, attempt, deadline)
                 is_kept = await self._async_read(connection, request, attempt)
         except TimeoutError:
-            attempt.has_left = True
+            attempt.has_disconnected = True
         except (OSError, ValueError, asyncio.IncompleteReadError):
             pass
         finally:
@@ -175,19 +177,19 @@
         return attempt
 
     def _keep_or_close(self, connection: _Connection, is_kept: bool) -> None:
-        if is_kept and self._kept is None:
-            self._kept = connection
+        if is_kept and self._idle_connection is None:
+            self._idle_connection = connection
         else:
             connection.writer.transport.abort()
 
     async def _async_connect(self, attempt: Attempt, is_new: bool) -> _Connection:
-        kept, self._kept = self._kept, None
-        if kept is not None and (is_new or kept.reader.at_eof()):
-            kept.writer.close()
-            kept = None
-        if kept is not None:
-            attempt.node = kept.node
-            return kept
+        idle, self._idle_connection = self._idle_connection, None
+        if idle is not None and (is_new or idle.reader.at_eof()):
+            idle.writer.close()
+            idle = None
+        if idle is not None:
+            attempt.node = idle.node
+            return idle
         node = attempt.node
         async with asyncio.timeout(CONNECT_SECONDS):
             return _Connection(node, *await asyncio.open_connection(*_split(node)))
@@ -200,7 +202,7 @@
         deadline: float,
     ) -> None:
         plan = request.plan
-        attempt.last_id = request.pieces.count(EVENT_END)
+        attempt.last_event_id = request.received_events.count(EVENT_END)
         left = deadline - asyncio.get_running_loop().time()
         headers = [
             ("Host", plan.host),
@@ -209,10 +211,10 @@
             ("X-Deadline-Ms", str(max(1, int(left * MILLISECONDS)))),
             ("X-Key", self._key),
         ]
-        if attempt.last_id:
-            headers.append(("Last-Event-Id", str(attempt.last_id)))
+        if attempt.last_event_id:
+            headers.append(("Last-Event-Id", str(attempt.last_event_id)))
         body = plan.body
-        if plan.in_chunks and body:
+        if plan.is_chunked and body:
             headers.append(("Transfer-Encoding", "chunked"))
             body = f"{len(body):x}\r\n".encode() + body + b"\r\n0\r\n\r\n"
         elif body:
@@ -236,10 +238,10 @@
         attempt.status = int(first_line.split()[1])
         if "transfer-encoding" in attempt.answer:
             await self._async_read_chunks(reader, request, attempt)
-        elif attempt.status not in BODILESS:
+        elif attempt.status not in STATUSES_WITHOUT_BODY:
             length = int(attempt.answer["content-length"])
             attempt.body = await reader.readexactly(length)
-        attempt.is_whole = True
+        attempt.is_complete = True
         return attempt.answer.get("connection", "").lower() != "close"
 
     async def _async_read_chunks(
@@ -248,7 +250,7 @@
         request: ClientRequest,
         attempt: Attempt,
     ) -> None:
-        before = request.pieces
+        earlier_events = request.received_events
         while True:
             size = int((await reader.readuntil(LINE_END)).strip(), 16)
             part = await reader.readexactly(size + len(LINE_END))
@@ -256,11 +258,11 @@
                 return
             now = asyncio.get_running_loop().time()
             attempt.body += part[:size]
-            attempt.first_at = attempt.first_at or now
-            request.first_at = request.first_at or now
+            attempt.first_event_at = attempt.first_event_at or now
+            request.first_event_at = request.first_event_at or now
             # Only whole events count; a part of one is asked for again.
             whole = attempt.body.rpartition(EVENT_END)
-            request.pieces = before + whole[0] + whole[1]
+            request.received_events = earlier_events + whole[0] + whole[1]
 
 
 def _split(address: Address) -> tuple[str, int]:
--- a/libraries/standins/tarragonward_standins/platform_day.py
+++ b/libraries/standins/tarragonward_standins/platform_day.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass, field
 
 from .platform_clients import ClientRequest, PlatformClient, RequestPlan
-from .platform_runner import CRASH_MARK
+from .platform_runner import CRASH_PREFIX
 from .platform_site import HOST_NAME, PlatformSite
 
 __all__ = ["DayPlan", "DayReport", "PlatformDay", "build_crashing_draft"]
 
-PIECE_TOKENS = 46
-DRAFT_PROMPTS = ((0.85, (1_000, 8_000)), (1.0, (20_000, 60_000)))
+EVENT_TOKENS = 46
+DRAFT_PROMPT_TOKENS = ((0.85, (1_000, 8_000)), (1.0, (20_000, 60_000)))
 # Beyond one engine's memory where a site's engines are small.
-HUGE_PROMPTS = (90_000, 130_000)
-SHARED_PART = "5c1e07a2:40"
+HUGE_PROMPT_TOKENS = (90_000, 130_000)
+SHARED_PREFIX = "5c1e07a2:40"
 
 
 @dataclass(frozen=True)
@@ -38,21 +38,21 @@
     """The figures of a played day."""
 
     score: Counter[str] = field(default_factory=Counter)
-    broken: list[tuple[str, str]] = field(default_factory=list)
-    first_seconds: list[float] = field(default_factory=list)
+    violations: list[tuple[str, str]] = field(default_factory=list)
+    first_event_seconds: list[float] = field(default_factory=list)
 
     @property
     def is_good(self) -> bool:
         """Return whether all was served right, in time, and no rule broken."""
         score = self.score
-        bad = score["late"] + score["wrong"] + score["doubled"] + len(self.broken)
+        bad = score["late"] + score["wrong"] + score["doubled"] + len(self.violations)
         return not bad and 0 < score["sent"] == score["whole"]
 
     def format_line(self) -> str:
         """Return the last line of a demo."""
         names = ("sent", "whole", "late", "wrong", "doubled")
         figures = " ".join(f"{name}={self.score[name]}" for name in names)
-        return f"{figures} broken_rules={len(self.broken)}"
+        return f"{figures} broken_rules={len(self.violations)}"
 
 
 class PlatformDay:
@@ -62,8 +62,8 @@
         self._site = site
         self._plan = plan
         self._random = random.Random(plan.seed)
-        self._free = [site.add_client() for _ in range(plan.clients)]
-        self._subjects = 0
+        self._idle_clients = [site.add_client() for _ in range(plan.clients)]
+        self._prompt_count = 0
 
     async def async_play(self) -> DayReport:
         """Send the day's requests, wait for their ends, and judge them."""
@@ -78,21 +78,23 @@
 
     def judge(self) -> DayReport:
         """Return the figures of all requests so far."""
-        report = DayReport(broken=self._site.check())
+        report = DayReport(violations=self._site.check())
         for request in self._site.requests:
-            self._note(report, request)
-        rules = Counter(rule for rule, _ in report.broken)
+            self._count(report, request)
+        rules = Counter(rule for rule, _ in report.violations)
         report.score["wrong"] = rules["MIXED"] + rules["ORDER"] + rules["UNASKED"]
         report.score["doubled"] = rules["TWICE"]
         return report
 
-    def _note(self, report: DayReport, request: ClientRequest) -> None:
+    def _count(self, report: DayReport, request: ClientRequest) -> None:
         report.score["sent"] += 1
         if request.is_success:
             report.score["whole"] += 1
             report.score["late"] += request.is_late
-            if request.plan.kind == "stream" and request.first_at is not None:
-                report.first_seconds.append(request.first_at - request.began_at)
+            if request.plan.kind == "stream" and request.first_event_at is not None:
+                report.first_event_seconds.append(
+                    request.first_event_at - request.began_at
+                )
         else:
             last = request.attempts[-1]
             report.score[f"status_{last.status}"] += 1
@@ -100,23 +102,23 @@
     async def _async_request(self, plan: RequestPlan) -> None:
         # A client makes one request at a time; more of them come where all are busy.
         client: PlatformClient = (
-            self._free.pop(self._random.randrange(len(self._free)))
-            if self._free
+            self._idle_clients.pop(self._random.randrange(len(self._idle_clients)))
+            if self._idle_clients
             else self._site.add_client()
         )
         await client.async_request(plan)
-        self._free.append(client)
+        self._idle_clients.append(client)
 
     def _draw_plan(self) -> RequestPlan:
         rate = self._plan.drafts_per_second + self._plan.calls_per_second
-        leaves_after = None
+        disconnect_after_seconds = None
         if self._random.random() < self._plan.leaving_share:
-            leaves_after = self._random.uniform(0.005, 0.2)
+            disconnect_after_seconds = self._random.uniform(0.005, 0.2)
         huge_share = self._plan.huge_per_second / rate
         if huge_share and self._random.random() < huge_share:
-            return self._draw_draft(leaves_after, HUGE_PROMPTS)
+            return self._draw_draft(disconnect_after_seconds, HUGE_PROMPT_TOKENS)
         if self._random.random() * rate < self._plan.drafts_per_second:
-            return self._draw_draft(leaves_after)
+            return self._draw_draft(disconnect_after_seconds)
         if self._random.random() < 0.5:
             return RequestPlan(
                 "/look/",
@@ -124,7 +126,7 @@
                 HOST_NAME,
                 f"/look/{self._random.randrange(99)}?x=%2f",
                 "GET",
-                leaves_after=leaves_after,
+                disconnect_after_seconds=disconnect_after_seconds,
             )
         body = self._random.randbytes(self._random.randint(10, 2_000))
         return RequestPlan(
@@ -133,20 +135,24 @@
             HOST_NAME,
             "/confirm/2f",
             body=body,
-            in_chunks=self._random.random() < 0.3,
-            leaves_after=leaves_after,
+            is_chunked=self._random.random() < 0.3,
+            disconnect_after_seconds=disconnect_after_seconds,
         )
 
     def _draw_draft(
-        self, leaves_after: float | None, bounds: tuple[int, int] | None = None
+        self,
+        disconnect_after_seconds: float | None,
+        bounds: tuple[int, int] | None = None,
     ) -> RequestPlan:
         draw = self._random.random()
         if bounds is None:
-            bounds = next(bounds for below, bounds in DRAFT_PROMPTS if draw < below)
+            bounds = next(
+                bounds for below, bounds in DRAFT_PROMPT_TOKENS if draw < below
+            )
         prompt = self._random.randint(*bounds)
-        answer = PIECE_TOKENS * self._random.randint(3, 12)
-        self._subjects += 1
-        subject = f"{self._subjects:08x}:{prompt - 40}"
+        answer = EVENT_TOKENS * self._random.randint(3, 12)
+        self._prompt_count += 1
+        prompt_id = f"{self._prompt_count:08x}:{prompt - 40}"
         return RequestPlan(
             "/draft/",
             "stream",
@@ -156,14 +162,14 @@
             headers=(
                 ("X-Model", "m"),
                 ("X-Token-Counts", f"{prompt},{answer}"),
-                ("X-Prompt-Prefix", f"{SHARED_PART},{subject}"),
+                ("X-Prompt-Prefix", f"{SHARED_PREFIX},{prompt_id}"),
             ),
             deadline_seconds=10.0,
             timeout_seconds=10.0,
             aim_seconds=2.0,
-            subject=subject,
+            prompt_id=prompt_id,
             is_resumable=True,
-            leaves_after=leaves_after,
+            disconnect_after_seconds=disconnect_after_seconds,
         )
 
 
@@ -174,7 +180,7 @@
         "stream",
         HOST_NAME,
         "/draft/2f",
-        body=CRASH_MARK + rng.randbytes(8),
+        body=CRASH_PREFIX + rng.randbytes(8),
         headers=(("X-Model", "m"), ("X-Token-Counts", "2000,400")),
         is_resumable=True,
     )
--- a/libraries/standins/tarragonward_standins/platform_engine.py
+++ b/libraries/standins/tarragonward_standins/platform_engine.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-__all__ = ["PassEngine", "PassSizes", "PassWork", "Ticket"]
+__all__ = ["PassEngine", "PassSizes", "PassWork", "Reservation"]
 
 URGENCY_DEFAULT = 5
 MILLISECONDS = 1_000.0
-MAX_TICKETS = 64
+MAX_RESERVATIONS = 64
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
     pairs_per_m: float = 0.0917
     hop_ms: float = 0.1
 
-    def compute_read_ms(self, tokens: int, pairs: float) -> float:
+    def compute_prefill_ms(self, tokens: int, pairs: float) -> float:
         """Return how long so many tokens with so many pairs take to read."""
         by_tokens = tokens / self.read_per_s * MILLISECONDS
         return by_tokens + pairs / 1e6 * self.pairs_per_m
@@ -48,53 +48,53 @@
     order: int = 0
     part_tokens: int | None = None
     is_part: bool = False
-    read: int = 0
-    written: int = 0
-    waits_for: int = 0
+    prefilled_tokens: int = 0
+    generated_tokens: int = 0
+    pending_parts: int = 0
     is_running: bool = False
     hop_ms: float = 0.0
-    ticket_tokens: int = 0
+    reserved_tokens: int = 0
 
     @property
-    def own_tokens(self) -> int:
+    def local_tokens(self) -> int:
         """Return the prompt tokens that this engine reads."""
         return self.prompt_tokens if self.part_tokens is None else self.part_tokens
 
     @property
-    def is_joint(self) -> bool:
+    def is_split(self) -> bool:
         """Return whether several engines read the prompt."""
-        return self.own_tokens < self.prompt_tokens
+        return self.local_tokens < self.prompt_tokens
 
     @property
-    def is_read(self) -> bool:
+    def is_prefilled(self) -> bool:
         """Return whether this engine has read its tokens."""
-        return self.read >= self.own_tokens
+        return self.prefilled_tokens >= self.local_tokens
 
     @property
-    def is_writing(self) -> bool:
+    def is_decoding(self) -> bool:
         """Return whether the answer is being written."""
         return (
-            self.is_read
-            and not (self.is_part or self.waits_for)
-            and self.written < self.answer_tokens
+            self.is_prefilled
+            and not (self.is_part or self.pending_parts)
+            and self.generated_tokens < self.answer_tokens
         )
 
     @property
     def memory_tokens(self) -> int:
         """Return the memory held besides tickets."""
-        held = self.read + self.written - self.ticket_tokens
+        held = self.prefilled_tokens + self.generated_tokens - self.reserved_tokens
         return max(0, held)
 
-    def count_pairs(self, tokens: int) -> float:
+    def count_attention_pairs(self, tokens: int) -> float:
         """Return the pairs of the next tokens with those before them."""
-        if self.is_joint:
+        if self.is_split:
             return tokens * self.prompt_tokens / 2
-        end = self.read + tokens
-        return (end * end - self.read * self.read) / 2
+        end = self.prefilled_tokens + tokens
+        return (end * end - self.prefilled_tokens * self.prefilled_tokens) / 2
 
 
 @dataclass
-class Ticket:
+class Reservation:
     """Memory set aside under a lease; waiting while it is not free."""
 
     id: str
@@ -110,8 +110,8 @@
     """A pass: how long it takes, who writes how many tokens, which parts are read."""
 
     seconds: float
-    written: list[tuple[PassWork, int]] = field(default_factory=list)
-    read: list[PassWork] = field(default_factory=list)
+    decoded: list[tuple[PassWork, int]] = field(default_factory=list)
+    prefilled: list[PassWork] = field(default_factory=list)
     preempted: list[PassWork] = field(default_factory=list)
 
 
@@ -123,14 +123,16 @@
         self.pace = pace
         self.waiting: list[PassWork] = []
         self.running: list[PassWork] = []
-        self.tickets: dict[str, Ticket] = {}
-        self._orders = 0
+        self.reservations: dict[str, Reservation] = {}
+        self._last_order = 0
 
     @property
     def held_tokens(self) -> int:
         """Return the memory that cannot yield."""
         return sum(work.memory_tokens for work in self.running) + sum(
-            ticket.tokens for ticket in self.tickets.values() if not ticket.is_waiting
+            reservation.tokens
+            for reservation in self.reservations.values()
+            if not reservation.is_waiting
         )
 
     @property
@@ -145,8 +147,8 @@
 
     def add(self, work: PassWork) -> None:
         """Queue a request; a part is read at once, ahead of other reads."""
-        self._orders += 1
-        work.order = self._orders
+        self._last_order += 1
+        work.order = self._last_order
         if work.is_part:
             work.is_running = True
             self.running.append(work)
@@ -169,15 +171,15 @@
         result = PassResult(0.0)
         self._preempt(result)
         self._admit()
-        writers = [work for work in self.running if work.is_writing]
-        steps = self.sizes.stride if writers else 1
-        step_ms = self.sizes.step_ms + sum(map(self._compute_writer_ms, writers))
-        step_ms += sum(map(self._compute_holder_ms, self.running))
-        read_ms = self._plan_reads(steps, result)
-        result.seconds = (steps * step_ms + read_ms) * self.pace / MILLISECONDS
-        for work in writers:
-            tokens = min(steps, work.answer_tokens - work.written)
-            result.written.append((work, tokens))
+        decoding = [work for work in self.running if work.is_decoding]
+        steps = self.sizes.stride if decoding else 1
+        step_ms = self.sizes.step_ms + sum(map(self._compute_decode_ms, decoding))
+        step_ms += sum(map(self._compute_held_part_ms, self.running))
+        prefill_ms = self._plan_prefill(steps, result)
+        result.seconds = (steps * step_ms + prefill_ms) * self.pace / MILLISECONDS
+        for work in decoding:
+            tokens = min(steps, work.answer_tokens - work.generated_tokens)
+            result.decoded.append((work, tokens))
         return result
 
     def end_pass(self, result: PassResult) -> list[PassWork]:
@@ -185,57 +187,63 @@
 
         A request whose prompt is read writes its first token at the pass's end.
         """
-        for work, tokens in result.written:
-            work.written += tokens
-        return [work for work in result.read if work.is_read]
+        for work, tokens in result.decoded:
+            work.generated_tokens += tokens
+        return [work for work in result.prefilled if work.is_prefilled]
 
     def reserve(
-        self, ticket_id: str, tokens: int, hold: float, wait: bool, now: float
+        self, reservation_id: str, tokens: int, hold: float, wait: bool, now: float
     ) -> int:
         """Set memory aside; return the status of the order."""
         self.expire(now)
-        known = self.tickets.get(ticket_id)
-        if known is not None:
-            known.expires_at = now + hold
-            return 202 if known.is_waiting else 200
+        existing = self.reservations.get(reservation_id)
+        if existing is not None:
+            existing.expires_at = now + hold
+            return 202 if existing.is_waiting else 200
         if tokens > self.sizes.memory_tokens:
             return 400
-        fits = tokens <= self.free_tokens and not self._has_waiting_ticket()
-        if len(self.tickets) >= MAX_TICKETS or not (fits or wait):
+        fits = tokens <= self.free_tokens and not self._has_waiting_reservation()
+        if len(self.reservations) >= MAX_RESERVATIONS or not (fits or wait):
             return 409
-        ticket = Ticket(ticket_id, tokens, now + hold, now, is_waiting=not fits)
-        self.tickets[ticket_id] = ticket
+        reservation = Reservation(
+            reservation_id, tokens, now + hold, now, is_waiting=not fits
+        )
+        self.reservations[reservation_id] = reservation
         return 200 if fits else 202
 
-    def release(self, ticket_id: str) -> None:
+    def release(self, reservation_id: str) -> None:
         """End a reservation; requests that use it are cut off by their runner."""
-        self.tickets.pop(ticket_id, None)
+        self.reservations.pop(reservation_id, None)
 
-    def expire(self, now: float) -> list[Ticket]:
+    def expire(self, now: float) -> list[Reservation]:
         """Drop the reservations whose lease is over, and grant those that wait."""
-        gone = [t for t in self.tickets.values() if t.expires_at <= now]
-        for ticket in gone:
-            del self.tickets[ticket.id]
-        for ticket in self.tickets.values():
-            if ticket.is_waiting:
-                if ticket.tokens > self.free_tokens:
+        expired = [t for t in self.reservations.values() if t.expires_at <= now]
+        for reservation in expired:
+            del self.reservations[reservation.id]
+        for reservation in self.reservations.values():
+            if reservation.is_waiting:
+                if reservation.tokens > self.free_tokens:
                     break
-                ticket.is_waiting = False
-        return gone
+                reservation.is_waiting = False
+        return expired
 
-    def _has_waiting_ticket(self) -> bool:
-        return any(ticket.is_waiting for ticket in self.tickets.values())
+    def _has_waiting_reservation(self) -> bool:
+        return any(reservation.is_waiting for reservation in self.reservations.values())
 
     def _list_active(self) -> Iterator[PassWork]:
-        return (w for w in self.running if not w.is_read or w.is_writing)
+        return (w for w in self.running if not w.is_prefilled or w.is_decoding)
 
     def _admit(self) -> None:
-        while self.waiting and not self._has_waiting_ticket():
+        while self.waiting and not self._has_waiting_reservation():
             own = sum(not work.is_part for work in self.running)
             work = self.waiting[0]
-            wanted = work.own_tokens - work.ticket_tokens
-            promised = sum(w.own_tokens - w.read for w in self.running if not w.is_part)
-            if own >= self.sizes.slots or wanted > self.free_tokens - promised:
+            needed = work.local_tokens - work.reserved_tokens
+            pending_prefill = sum(
+                w.local_tokens - w.prefilled_tokens
+                for w in self.running
+                if not w.is_part
+            )
+            if own >= self.sizes.slots or needed > self.free_tokens - pending_prefill:
                 return
             work.is_running = True
             self.running.append(self.waiting.pop(0))
@@ -248,40 +256,42 @@
             newest = max(own, key=lambda work: work.order)
             self.running.remove(newest)
             # What was written is read again together with the prompt.
-            newest.read, newest.is_running = 0, False
+            newest.prefilled_tokens, newest.is_running = 0, False
             self.waiting.insert(0, newest)
             result.preempted.append(newest)
 
-    def _compute_writer_ms(self, work: PassWork) -> float:
-        context = (work.own_tokens + work.written) / 1_000
+    def _compute_decode_ms(self, work: PassWork) -> float:
+        context = (work.local_tokens + work.generated_tokens) / 1_000
         return self.sizes.per_seq_ms + context * self.sizes.context_per_k + work.hop_ms
 
-    def _compute_holder_ms(self, work: PassWork) -> float:
-        if not (work.is_part and work.is_read):
+    def _compute_held_part_ms(self, work: PassWork) -> float:
+        if not (work.is_part and work.is_prefilled):
             return 0.0
-        return work.own_tokens / 1_000 * self.sizes.context_per_k
+        return work.local_tokens / 1_000 * self.sizes.context_per_k
 
-    def _plan_reads(self, steps: int, result: PassResult) -> float:
+    def _plan_prefill(self, steps: int, result: PassResult) -> float:
         left = self.sizes.chunk * steps
         total = 0.0
-        unread = [work for work in self.running if not work.is_read]
-        for work in sorted(unread, key=_get_turn):
+        uncached = [work for work in self.running if not work.is_prefilled]
+        for work in sorted(uncached, key=_get_prefill_order):
             if left <= 0:
                 break
-            tokens = min(left, work.own_tokens - work.read)
-            total += self.sizes.compute_read_ms(tokens, work.count_pairs(tokens))
-            work.read += tokens
+            tokens = min(left, work.local_tokens - work.prefilled_tokens)
+            total += self.sizes.compute_prefill_ms(
+                tokens, work.count_attention_pairs(tokens)
+            )
+            work.prefilled_tokens += tokens
             left -= tokens
-            result.read.append(work)
+            result.prefilled.append(work)
         return total
 
 
-def _get_turn(work: PassWork) -> tuple[bool, int, int]:
+def _get_prefill_order(work: PassWork) -> tuple[bool, int, int]:
     """Return the place of a read: shares of joint prompts first, the newest of them.
 
     The page says that parts go ahead of other reads. That the newest goes ahead of
     older ones, and the first engine's own share with them, is as the runners did it.
     """
-    if work.is_joint:
+    if work.is_split:
         return False, 0, -work.order
     return True, work.urgency, work.order
--- a/libraries/standins/tarragonward_standins/platform_http.py
+++ b/libraries/standins/tarragonward_standins/platform_http.py
@@ -12,7 +12,7 @@
 
 from tarragonward_core import Address
 
-__all__ = ["PlainRequest", "PlainServer", "async_reset_connection", "build_head"]
+__all__ = ["PlainRequest", "PlainServer", "reset_connection", "build_head"]
 
 HEAD_END = b"\r\n\r\n"
 LINE_END = b"\r\n"
@@ -49,7 +49,7 @@
     return "\r\n".join(lines).encode("latin-1") + HEAD_END
 
 
-def async_reset_connection(writer: asyncio.StreamWriter) -> None:
+def reset_connection(writer: asyncio.StreamWriter) -> None:
     """Reset a connection."""
     sock = writer.get_extra_info("socket")
     if sock is not None:
@@ -115,7 +115,7 @@
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
-            async_reset_connection(writer)
+            reset_connection(writer)
         await asyncio.sleep(0)
 
     async def _async_serve(
@@ -123,7 +123,7 @@
     ) -> None:
         limit = self.max_connections
         if limit is not None and len(self._writers) >= limit:
-            async_reset_connection(writer)
+            reset_connection(writer)
             return
         self._writers.add(writer)
         try:
@@ -140,17 +140,17 @@
         request = await _async_read_head(reader)
         if self.reads_body:
             request.body = await _async_read_body(request, reader)
-        handling = asyncio.ensure_future(self.handler(request, writer))
-        watching = asyncio.ensure_future(reader.read(1))
+        handler_task = asyncio.ensure_future(self.handler(request, writer))
+        disconnect_watch = asyncio.ensure_future(reader.read(1))
         try:
             await asyncio.wait(
-                {handling, watching}, return_when=asyncio.FIRST_COMPLETED
+                {handler_task, disconnect_watch}, return_when=asyncio.FIRST_COMPLETED
             )
-            if not handling.done():
+            if not handler_task.done():
                 return False
             await writer.drain()
-            return handling.result() and not watching.done()
+            return handler_task.result() and not disconnect_watch.done()
         finally:
-            for task in (handling, watching):
+            for task in (handler_task, disconnect_watch):
                 task.cancel()
-            await asyncio.gather(handling, watching, return_exceptions=True)
+            await asyncio.gather(handler_task, disconnect_watch, return_exceptions=True)
--- a/libraries/standins/tarragonward_standins/platform_model_runner.py
+++ b/libraries/standins/tarragonward_standins/platform_model_runner.py
@@ -10,18 +10,18 @@
 import orjson
 
 from .platform_engine import PassEngine, PassSizes, PassWork
-from .platform_http import PlainRequest, async_reset_connection
+from .platform_http import PlainRequest, reset_connection
+from .platform_reservations import ReservationLog
 from .platform_runner import (
-    CRASH_MARK,
+    CRASH_PREFIX,
     Arrival,
-    Journal,
+    ArrivalLog,
     PlatformRunner,
     RunnerPlan,
 )
 from .platform_store import PlatformStore
-from .platform_tickets import TicketJournal
 
-__all__ = ["ModelRunner", "Neighbours", "build_piece"]
+__all__ = ["ModelRunner", "RunnersByAddress", "build_stream_event"]
 
 CHUNKED = ("Transfer-Encoding", "chunked")
 EVENT_STREAM = ("Content-Type", "text/event-stream")
@@ -29,25 +29,25 @@
 MILLISECONDS = 1_000
 MAX_HELPERS = 16
 REPORT_STEP_SECONDS = 0.02
-PIECES_BEFORE_FAULT = 2
+EVENTS_BEFORE_FAULT = 2
 CRASH_SECONDS = 0.05
 STALL_SECONDS = 1.5
 WEIGHTS_HEADER = "X-Weight-Versions"
 
-Neighbours = dict[str, "ModelRunner"]
+RunnersByAddress = dict[str, "ModelRunner"]
 
 
-def build_piece(subject: str, number: int, is_last: bool) -> bytes:
+def build_stream_event(prompt_id: str, number: int, is_last: bool) -> bytes:
     """Return one event of the answer to a subject, the same from every runner."""
     end = " end" if is_last else ""
-    return f"id: {number}\ndata: {subject} {number}{end}\n\n".encode()
+    return f"id: {number}\ndata: {prompt_id} {number}{end}\n\n".encode()
 
 
 @dataclass(frozen=True)
-class _CutOff:
+class _StreamFailure:
     """A stream cannot go on; at_server is the runner at fault where there is one."""
 
-    at_server: str = ""
+    failed_runner: str = ""
 
 
 @dataclass(eq=False)
@@ -55,9 +55,9 @@
     """A request at the engine: its events (is it the last?), and its helpers' parts."""
 
     work: PassWork
-    events: asyncio.Queue[bool | _CutOff] = field(default_factory=asyncio.Queue)
+    events: asyncio.Queue[bool | _StreamFailure] = field(default_factory=asyncio.Queue)
     parts: list[tuple[ModelRunner, PassWork]] = field(default_factory=list)
-    tickets: list[tuple[ModelRunner, str]] = field(default_factory=list)
+    reservations: list[tuple[ModelRunner, str]] = field(default_factory=list)
 
 
 class ModelRunner(PlatformRunner):
@@ -67,49 +67,49 @@
         self,
         plan: RunnerPlan,
         store: PlatformStore,
-        journal: Journal,
+        arrivals: ArrivalLog,
         seed: int,
         sizes: PassSizes,
-        neighbours: Neighbours,
+        runners_by_address: RunnersByAddress,
         report_lag_seconds: float = 0.2,
     ) -> None:
-        super().__init__(plan, store, journal, seed)
+        super().__init__(plan, store, arrivals, seed)
         self.engine = PassEngine(sizes)
-        self._neighbours = neighbours
+        self._runners_by_address = runners_by_address
         self._streams: dict[PassWork, _Stream] = {}
         self._part_owners: dict[PassWork, tuple[ModelRunner, PassWork]] = {}
-        self._ticket_users: dict[str, tuple[ModelRunner, PassWork]] = {}
-        self.tickets = TicketJournal(self.id)
+        self._reservation_users: dict[str, tuple[ModelRunner, PassWork]] = {}
+        self.reservation_log = ReservationLog(self.id)
         self.weights_version = 1
-        self._has_work = asyncio.Event()
-        self._passing: asyncio.Task[None] | None = None
-        self._reporting: asyncio.Task[None] | None = None
+        self._work_added = asyncio.Event()
+        self._pass_task: asyncio.Task[None] | None = None
+        self._report_task: asyncio.Task[None] | None = None
         self._reports: deque[dict[str, Any]] = deque(
             maxlen=max(1, round(report_lag_seconds / REPORT_STEP_SECONDS))
         )
         self.route("GET", "/report", self._async_report)
-        self.route("POST", "/order", self._async_take_order)
+        self.route("POST", "/order", self._async_handle_order)
 
     async def async_setup(self) -> None:
         """Listen, register and begin to work through passes."""
         await super().async_setup()
-        self._neighbours[str(self.address)] = self
-        self._passing = asyncio.create_task(self._async_pass())
-        self._reporting = asyncio.create_task(self._async_note_reports())
+        self._runners_by_address[str(self.address)] = self
+        self._pass_task = asyncio.create_task(self._async_run_passes())
+        self._report_task = asyncio.create_task(self._async_record_reports())
 
     async def async_unload(self) -> None:
         """Leave at once."""
-        for task in (self._passing, self._reporting):
+        for task in (self._pass_task, self._report_task):
             if task is not None:
                 task.cancel()
         for runner, work in {
             *self._part_owners.values(),
-            *self._ticket_users.values(),
+            *self._reservation_users.values(),
         }:
             if runner is not self:
                 runner._stall(work, str(self.address))
-        self.tickets.note((), asyncio.get_running_loop().time())
-        self._neighbours.pop(str(self.address), None)
+        self.reservation_log.note((), asyncio.get_running_loop().time())
+        self._runners_by_address.pop(str(self.address), None)
         await super().async_unload()
 
     def is_full(self) -> bool:
@@ -126,14 +126,14 @@
         """Read the prompt and stream the answer."""
         stream = self._build_stream(request)
         if stream is None:
-            self._note_unused(request)
+            self._record_end_of_use(request)
             return self._refuse(writer, arrival, 503)
         try:
-            self._begin(stream)
+            self._start_stream(stream)
             return await self._async_stream(stream, request, arrival, fault, writer)
         finally:
-            self._end(stream)
-            self._note_unused(request)
+            self._end_stream(stream)
+            self._record_end_of_use(request)
 
     def _build_stream(self, request: PlainRequest) -> _Stream | None:
         counts = request.headers.get("x-token-counts", "1000,100").split(",")
@@ -144,7 +144,7 @@
         entries = [e for e in request.headers.get("x-helpers", "").split(",") if e]
         if entries and not self._add_helpers(stream, entries[:MAX_HELPERS]):
             return None
-        if stream.work.own_tokens - stream.work.ticket_tokens > (
+        if stream.work.local_tokens - stream.work.reserved_tokens > (
             self.engine.sizes.memory_tokens
         ):
             return None
@@ -153,27 +153,33 @@
     def _add_helpers(self, stream: _Stream, entries: list[str]) -> bool:
         work = stream.work
         helpers: list[ModelRunner] = []
-        stored = 0
+        reserved = 0
         for entry in entries:
-            address, _, ticket_id = entry.strip().partition("/")
-            runner = self._neighbours.get(address)
-            ticket = runner.engine.tickets.get(ticket_id) if runner else None
-            if runner is None or runner.is_leaving or (ticket_id and ticket is None):
+            address, _, reservation_id = entry.strip().partition("/")
+            runner = self._runners_by_address.get(address)
+            reservation = (
+                runner.engine.reservations.get(reservation_id) if runner else None
+            )
+            if (
+                runner is None
+                or runner.is_draining
+                or (reservation_id and reservation is None)
+            ):
                 return False
-            if ticket is not None:
-                runner._note_use(ticket_id, work.id)
-                if ticket.is_waiting or ticket.used_by:
+            if reservation is not None:
+                runner._record_use(reservation_id, work.id)
+                if reservation.is_waiting or reservation.used_by:
                     return False
-                stream.tickets.append((runner, ticket_id))
-                stored += ticket.tokens
+                stream.reservations.append((runner, reservation_id))
+                reserved += reservation.tokens
             if runner is not self:
                 helpers.append(runner)
         parts = len(helpers) + 1
         share = -(-work.prompt_tokens // parts)
         work.part_tokens = share
         # What the tickets do not hold is stored here.
-        work.ticket_tokens = min(share, stored)
-        work.waits_for = len(helpers)
+        work.reserved_tokens = min(share, reserved)
+        work.pending_parts = len(helpers)
         work.hop_ms = self.engine.sizes.hop_ms if helpers else 0.0
         for number, runner in enumerate(helpers):
             part = PassWork(
@@ -182,74 +188,78 @@
                 0,
                 part_tokens=share,
                 is_part=True,
-                ticket_tokens=share,
+                reserved_tokens=share,
             )
             stream.parts.append((runner, part))
         return True
 
-    def _begin(self, stream: _Stream) -> None:
-        for runner, ticket_id in stream.tickets:
-            runner.engine.tickets[ticket_id].used_by = stream.work.id
-            runner._ticket_users[ticket_id] = (self, stream.work)
+    def _start_stream(self, stream: _Stream) -> None:
+        for runner, reservation_id in stream.reservations:
+            runner.engine.reservations[reservation_id].used_by = stream.work.id
+            runner._reservation_users[reservation_id] = (self, stream.work)
         for runner, part in stream.parts:
             runner._part_owners[part] = (self, stream.work)
             runner.engine.add(part)
-            runner._has_work.set()
+            runner._work_added.set()
         self._streams[stream.work] = stream
         self.engine.add(stream.work)
-        self._has_work.set()
+        self._work_added.set()
 
-    def _end(self, stream: _Stream) -> None:
+    def _end_stream(self, stream: _Stream) -> None:
         self._streams.pop(stream.work, None)
         self.engine.remove(stream.work)
         for runner, part in stream.parts:
             runner._part_owners.pop(part, None)
             runner.engine.remove(part)
-        for runner, ticket_id in stream.tickets:
-            ticket = runner.engine.tickets.get(ticket_id)
-            if ticket is not None and ticket.used_by == stream.work.id:
-                ticket.used_by = ""
-                runner._ticket_users.pop(ticket_id, None)
+        for runner, reservation_id in stream.reservations:
+            reservation = runner.engine.reservations.get(reservation_id)
+            if reservation is not None and reservation.used_by == stream.work.id:
+                reservation.used_by = ""
+                runner._reservation_users.pop(reservation_id, None)
 
     def change_weights(self) -> None:
         """Load the next version; streams tell of it at their next event."""
         self.weights_version += 1
 
-    def _note_use(self, ticket_id: str, request_id: str) -> None:
-        self.tickets.note(self.engine.tickets.values(), self._now())
-        record = self.tickets.get(ticket_id)
+    def _record_use(self, reservation_id: str, request_id: str) -> None:
+        self.reservation_log.note(self.engine.reservations.values(), self._now())
+        record = self.reservation_log.get(reservation_id)
         if record is not None:
             record.begin_use(request_id)
 
-    def _note_unused(self, request: PlainRequest) -> None:
+    def _record_end_of_use(self, request: PlainRequest) -> None:
         """Note that a request has ended or was rejected, whatever it got of them."""
         for entry in request.headers.get("x-helpers", "").split(","):
-            address, _, ticket_id = entry.strip().partition("/")
-            runner = self._neighbours.get(address)
-            record = runner.tickets.get(ticket_id) if runner is not None else None
+            address, _, reservation_id = entry.strip().partition("/")
+            runner = self._runners_by_address.get(address)
+            record = (
+                runner.reservation_log.get(reservation_id)
+                if runner is not None
+                else None
+            )
             if record is not None:
                 record.end_use(request.headers["x-request-id"], self._now())
 
     def _expire(self) -> None:
-        gone = self.engine.expire(self._now())
-        self.tickets.note(self.engine.tickets.values(), self._now())
-        for ticket in gone:
-            self._cut_off_user(ticket.id)
+        expired = self.engine.expire(self._now())
+        self.reservation_log.note(self.engine.reservations.values(), self._now())
+        for reservation in expired:
+            self._fail_reservation_user(reservation.id)
 
-    def _cut_off_user(self, ticket_id: str) -> None:
-        user = self._ticket_users.pop(ticket_id, None)
+    def _fail_reservation_user(self, reservation_id: str) -> None:
+        user = self._reservation_users.pop(reservation_id, None)
         if user is not None:
             runner, work = user
-            runner._cut_off(work, _CutOff())
+            runner._fail_stream(work, _StreamFailure())
 
-    def _stall(self, work: PassWork, at_server: str) -> None:
+    def _stall(self, work: PassWork, failed_runner: str) -> None:
         """Let work that depends on a dead runner stand still, then end it."""
-        work.waits_for += 1
+        work.pending_parts += 1
         asyncio.get_running_loop().call_later(
-            STALL_SECONDS, self._cut_off, work, _CutOff(at_server)
+            STALL_SECONDS, self._fail_stream, work, _StreamFailure(failed_runner)
         )
 
-    def _cut_off(self, work: PassWork, reason: _CutOff) -> None:
+    def _fail_stream(self, work: PassWork, reason: _StreamFailure) -> None:
         stream = self._streams.get(work)
         if stream is not None:
             stream.events.put_nowait(reason)
@@ -258,17 +268,17 @@
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    def _end_early(
+    def _answer_failure(
         self,
         arrival: Arrival,
         number: int,
-        reason: _CutOff,
+        reason: _StreamFailure,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        if number == 0 and reason.at_server:
-            head = ("At-Server", reason.at_server)
+        if number == 0 and reason.failed_runner:
+            head = ("At-Server", reason.failed_runner)
             return self._refuse(writer, arrival, 503, (head,))
-        arrival.has_broken_off = True
+        arrival.is_aborted = True
         return False
 
     async def _async_stream(
@@ -281,95 +291,95 @@
     ) -> bool:
         arrival.status = 200
         skipped = int(request.headers.get("last-event-id", "0"))
-        subject = request.headers.get("x-prompt-prefix", "").rpartition(",")[2]
+        prompt_id = request.headers.get("x-prompt-prefix", "").rpartition(",")[2]
         number = 0
         is_last = False
-        told_version = self.weights_version
+        sent_version = self.weights_version
         while not is_last:
             event = await stream.events.get()
-            if isinstance(event, _CutOff):
-                return self._end_early(arrival, number, event, writer)
+            if isinstance(event, _StreamFailure):
+                return self._answer_failure(arrival, number, event, writer)
             is_last = event
             number += 1
             if number == 1:
                 arrival.has_run = True
-                told_version = self.weights_version
-                weights = (WEIGHTS_HEADER, str(told_version))
+                sent_version = self.weights_version
+                weights = (WEIGHTS_HEADER, str(sent_version))
                 framing = (EVENT_STREAM, CHUNKED, weights)
                 writer.write(self.build_answer_head(arrival, framing))
-                if request.body.startswith(CRASH_MARK):
+                if request.body.startswith(CRASH_PREFIX):
                     await asyncio.sleep(CRASH_SECONDS)
-                    self.crash_by(arrival)
+                    self.crash_during(arrival)
                     return False
             if number <= skipped:
                 continue
-            data = build_piece(subject, number, is_last)
-            if told_version != self.weights_version:
-                told_version = self.weights_version
-                data = f"{WEIGHTS_HEADER.lower()}: {told_version}\n".encode() + data
-            if fault and fault != "extra" and number > skipped + PIECES_BEFORE_FAULT:
-                return self._break_off(arrival, fault, data, writer)
+            data = build_stream_event(prompt_id, number, is_last)
+            if sent_version != self.weights_version:
+                sent_version = self.weights_version
+                data = f"{WEIGHTS_HEADER.lower()}: {sent_version}\n".encode() + data
+            if fault and fault != "extra" and number > skipped + EVENTS_BEFORE_FAULT:
+                return self._abort_answer(arrival, fault, data, writer)
             arrival.body += data
             writer.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
             await writer.drain()
         writer.write(LAST_CHUNK)
         return True
 
-    def _break_off(
+    def _abort_answer(
         self, arrival: Arrival, fault: str, data: bytes, writer: asyncio.StreamWriter
     ) -> bool:
-        arrival.has_broken_off = True
+        arrival.is_aborted = True
         part = data[: len(data) // 2]
         writer.write(f"{len(data):x}\r\n".encode() + part)
         if fault == "reset":
-            async_reset_connection(writer)
+            reset_connection(writer)
         return False
 
-    async def _async_pass(self) -> None:
+    async def _async_run_passes(self) -> None:
         loop = asyncio.get_running_loop()
         next_at = loop.time()
         while True:
             self._expire()
             if not self.engine.has_work:
-                self._has_work.clear()
-                await self._has_work.wait()
+                self._work_added.clear()
+                await self._work_added.wait()
                 next_at = loop.time()
             result = self.engine.begin_pass()
             # Sleeps end late; counting from the last pass's end keeps the model's pace.
             next_at = max(next_at + max(result.seconds, 0.0005), loop.time() - 0.05)
             await asyncio.sleep(next_at - loop.time())
-            for work, tokens in result.written:
-                self._write(work, tokens)
+            for work, tokens in result.decoded:
+                self._emit_event(work, tokens)
             for work in self.engine.end_pass(result):
-                self._note_read(work)
+                self._handle_prefilled(work)
 
-    def _write(self, work: PassWork, tokens: int) -> None:
+    def _emit_event(self, work: PassWork, tokens: int) -> None:
         stream = self._streams.get(work)
         if stream is None:
             return
-        stream.events.put_nowait(work.written + tokens >= work.answer_tokens)
+        stream.events.put_nowait(work.generated_tokens + tokens >= work.answer_tokens)
 
-    def _note_read(self, work: PassWork) -> None:
+    def _handle_prefilled(self, work: PassWork) -> None:
         owner = self._part_owners.get(work)
         if owner is not None:
-            runner, whole = owner
-            whole.waits_for -= 1
-            runner._note_first(whole)
+            runner, leader = owner
+            leader.pending_parts -= 1
+            runner._start_decoding(leader)
             return
-        self._note_first(work)
+        self._start_decoding(work)
 
-    def _note_first(self, work: PassWork) -> None:
-        if work.is_read and not work.waits_for and not work.written:
-            work.written = 1
-            self._write_first(work)
+    def _start_decoding(self, work: PassWork) -> None:
+        if work.is_prefilled and not work.pending_parts and not work.generated_tokens:
+            work.generated_tokens = 1
+            self._emit_first_event(work)
 
-    def _write_first(self, work: PassWork) -> None:
+    def _emit_first_event(self, work: PassWork) -> None:
         stream = self._streams.get(work)
         if stream is not None:
             stream.events.put_nowait(work.answer_tokens <= 1)
-            self._has_work.set()
+            self._work_added.set()
 
-    async def _async_note_reports(self) -> None:
+    async def _async_record_reports(self) -> None:
         while True:
             self._expire()
             self._reports.append(self._build_report())
@@ -390,14 +400,14 @@
             "pace": engine.pace,
             "tickets": [
                 {
-                    "id": ticket.id,
-                    "tokens": ticket.tokens,
+                    "id": reservation.id,
+                    "tokens": reservation.tokens,
                     "state": "waiting"
-                    if ticket.is_waiting
-                    else ("used" if ticket.used_by else "held"),
-                    "ageMs": round((now - ticket.created_at) * MILLISECONDS),
+                    if reservation.is_waiting
+                    else ("used" if reservation.used_by else "held"),
+                    "ageMs": round((now - reservation.created_at) * MILLISECONDS),
                 }
-                for ticket in engine.tickets.values()
+                for reservation in engine.reservations.values()
             ],
         }
 
@@ -407,7 +417,7 @@
         report = self._reports[0] if self._reports else self._build_report()
         return self.write_json(writer, 200, report)
 
-    async def _async_take_order(
+    async def _async_handle_order(
         self, request: PlainRequest, writer: asyncio.StreamWriter
     ) -> bool:
         order = orjson.loads(request.body)
@@ -415,7 +425,7 @@
             return self.write_json(writer, 421, {})
         if order.get("op") == "release":
             self.engine.release(order["id"])
-            self._cut_off_user(order["id"])
+            self._fail_reservation_user(order["id"])
             return self.write_json(writer, 200, {"free": self.engine.free_tokens})
         if order.get("op") != "reserve":
             return self.write_json(writer, 400, {})
--- a/libraries/standins/tarragonward_standins/platform_tickets.py
+++ b/libraries/standins/tarragonward_standins/platform_reservations.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from .platform_engine import Ticket
+from .platform_engine import Reservation
 
-__all__ = ["TicketJournal", "TicketRecord", "judge_tickets"]
+__all__ = ["ReservationLog", "ReservationRecord", "check_reservations"]
 
 # The platform's bounds: freeMs and idleMaxMs.
 FREE_SECONDS = 4.0
@@ -15,11 +15,11 @@
 
 
 @dataclass(eq=False)
-class TicketRecord:
+class ReservationRecord:
     """One reservation from its grant or wait to its end; times are the loop's."""
 
     runner_id: str
-    ticket: Ticket
+    reservation: Reservation
     made_at: float
     ended_at: float | None = None
     used_by: str = ""
@@ -40,37 +40,39 @@
             self.last_use_ended_at = now
 
 
-class TicketJournal:
+class ReservationLog:
     """The records of one runner; what its engine holds is looked at again and again."""
 
     def __init__(self, runner_id: str) -> None:
         self._runner_id = runner_id
-        self.records: list[TicketRecord] = []
-        self._open: dict[str, TicketRecord] = {}
+        self.records: list[ReservationRecord] = []
+        self._open: dict[str, ReservationRecord] = {}
 
-    def note(self, tickets: Iterable[Ticket], now: float) -> None:
+    def note(self, reservations: Iterable[Reservation], now: float) -> None:
         """Take in the reservations that the engine holds now."""
-        held = {ticket.id: ticket for ticket in tickets}
-        for ticket_id, record in list(self._open.items()):
-            if held.get(ticket_id) is not record.ticket:
+        held = {reservation.id: reservation for reservation in reservations}
+        for reservation_id, record in list(self._open.items()):
+            if held.get(reservation_id) is not record.reservation:
                 record.ended_at = now
-                del self._open[ticket_id]
-        for ticket_id, ticket in held.items():
-            if ticket_id not in self._open:
-                record = TicketRecord(self._runner_id, ticket, now)
-                self._open[ticket_id] = record
+                del self._open[reservation_id]
+        for reservation_id, reservation in held.items():
+            if reservation_id not in self._open:
+                record = ReservationRecord(self._runner_id, reservation, now)
+                self._open[reservation_id] = record
                 self.records.append(record)
 
-    def get(self, ticket_id: str) -> TicketRecord | None:
+    def get(self, reservation_id: str) -> ReservationRecord | None:
         """Return the record of a reservation that is held."""
-        return self._open.get(ticket_id)
+        return self._open.get(reservation_id)
 
 
-def judge_tickets(records: Iterable[TicketRecord], now: float) -> list[tuple[str, str]]:
+def check_reservations(
+    records: Iterable[ReservationRecord], now: float
+) -> list[tuple[str, str]]:
     """Return the broken rules, each with the reservation that broke it."""
     broken = []
     for record in records:
-        name = f"{record.runner_id}/{record.ticket.id}"
+        name = f"{record.runner_id}/{record.reservation.id}"
         end = now if record.ended_at is None else record.ended_at
         used_until = record.last_use_ended_at
         if record.is_shared:
--- a/libraries/standins/tarragonward_standins/platform_runner.py
+++ b/libraries/standins/tarragonward_standins/platform_runner.py
@@ -17,29 +17,29 @@
 from .platform_http import (
     PlainRequest,
     PlainServer,
-    async_reset_connection,
     build_head,
+    reset_connection,
 )
 from .platform_store import PlatformStore
 
 __all__ = [
-    "CRASH_MARK",
+    "CRASH_PREFIX",
     "Arrival",
-    "LimitSpan",
+    "RateLimitPeriod",
     "PlatformRunner",
     "RunnerFaults",
     "RunnerPlan",
 ]
 
 # A request whose body begins so ends each runner that begins to run it.
-CRASH_MARK = b"crash:"
+CRASH_PREFIX = b"crash:"
 
 MILLISECONDS = 1_000
-RETRY_STATUS = 503
-WORK_SPREAD = (0.5, 1.5)
-BEATS_UNTIL_GONE = 3
+OVERLOAD_STATUS = 503
+WORK_TIME_FACTORS = (0.5, 1.5)
+MISSED_HEARTBEATS_UNTIL_REMOVAL = 3
 JSON_TYPE = ("Content-Type", "application/json")
-Journal = list["Arrival"]
+ArrivalLog = list["Arrival"]
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
     answer_bytes: int = 800
     health_path: str = "/health"
     max_connections: int = 110
-    beat_seconds: float = 1.2
+    heartbeat_seconds: float = 1.2
     host: str = "127.0.0.1"
 
 
@@ -94,20 +94,20 @@
     target: str
     headers: dict[str, str]
     body_hash: str
-    runner_left_at: float | None = None
+    runner_withdrawn_at: float | None = None
     has_run: bool = False
     ended_at: float | None = None
     status: int = 0
     body: bytes = field(default=b"", repr=False)
-    has_broken_off: bool = False
+    is_aborted: bool = False
     # When the runner ended under the request.
     runner_crashed_at: float | None = None
     # When an answer that names a limit was begun.
-    limit_named_at: float | None = None
+    limit_announced_at: float | None = None
 
 
 @dataclass
-class LimitSpan:
+class RateLimitPeriod:
     """A time in which a runner named a limit, in requests a second."""
 
     runner_id: str
@@ -120,13 +120,13 @@
     """One boot of a plain service's runner; model runners build on it."""
 
     def __init__(
-        self, plan: RunnerPlan, store: PlatformStore, journal: Journal, seed: int
+        self, plan: RunnerPlan, store: PlatformStore, arrivals: ArrivalLog, seed: int
     ) -> None:
         self.plan = plan
         self.faults = RunnerFaults()
-        self.journal = journal
-        self.is_leaving = False
-        self.left_at: float | None = None
+        self.arrivals = arrivals
+        self.is_draining = False
+        self.withdrawn_at: float | None = None
         self.active = 0
         self.waiting = 0
         self.random = random.Random(seed)
@@ -134,19 +134,19 @@
         self._store = store
         self._seq = 0
         self._slots = asyncio.Semaphore(plan.slots)
-        self._beating: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
         self._server = PlainServer(
             self._async_handle, plan.host, max_connections=plan.max_connections
         )
         self.proxy: FaultProxy | None = None
         self.on_crash: list[Callable[[PlatformRunner], None]] = []
-        self._crashing: asyncio.Task[None] | None = None
-        self.limits: list[LimitSpan] = []
+        self._crash_task: asyncio.Task[None] | None = None
+        self.limits: list[RateLimitPeriod] = []
         self._address = Address(plan.host, 0)
-        self._paths: dict[
+        self._handlers: dict[
             tuple[str, str],
             Callable[[PlainRequest, asyncio.StreamWriter], Awaitable[bool]],
-        ] = {("GET", plan.health_path): self._async_tell_health}
+        ] = {("GET", plan.health_path): self._async_answer_health}
 
     @property
     def address(self) -> Address:
@@ -159,20 +159,20 @@
         self.proxy = FaultProxy(self._address, self._server.address)
         await self.proxy.async_setup()
         self._address = self.proxy.address
-        self._beating = asyncio.create_task(self._async_beat())
+        self._heartbeat_task = asyncio.create_task(self._async_send_heartbeats())
 
     async def async_unload(self) -> None:
         """Leave at once, as a crash does; the registration stays for three beats."""
-        if self._beating is not None:
-            self._beating.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
         await self._server.async_unload()
         if self.proxy is not None:
             await self.proxy.async_unload()
 
-    async def async_leave(self, serve_seconds: float) -> None:
+    async def async_drain(self, serve_seconds: float) -> None:
         """Say that it is draining, serve on, and be gone."""
-        self.is_leaving = True
-        self.left_at = asyncio.get_running_loop().time()
+        self.is_draining = True
+        self.withdrawn_at = asyncio.get_running_loop().time()
         self._register()
         await asyncio.sleep(serve_seconds)
         await self.async_unload()
@@ -181,32 +181,34 @@
     async def async_crash(self) -> None:
         """Be gone without a word; the store drops it after some silent beats."""
         await self.async_unload()
-        await asyncio.sleep(self.plan.beat_seconds * BEATS_UNTIL_GONE)
-        self.left_at = asyncio.get_running_loop().time()
+        await asyncio.sleep(
+            self.plan.heartbeat_seconds * MISSED_HEARTBEATS_UNTIL_REMOVAL
+        )
+        self.withdrawn_at = asyncio.get_running_loop().time()
         self._store.delete(f"servers/{self.id}")
 
-    def name_limit(self, rate: float | None) -> None:
+    def set_rate_limit(self, rate: float | None) -> None:
         """Name a limit in all answers from now on, or none."""
         now = asyncio.get_running_loop().time()
-        for span in self.limits:
-            span.ended_at = min(span.ended_at, now)
+        for period in self.limits:
+            period.ended_at = min(period.ended_at, now)
         if rate is not None:
-            self.limits.append(LimitSpan(self.id, rate, now))
+            self.limits.append(RateLimitPeriod(self.id, rate, now))
 
-    def _build_limit(self, arrival: Arrival) -> tuple[tuple[str, str], ...]:
+    def _build_limit_header(self, arrival: Arrival) -> tuple[tuple[str, str], ...]:
         now = asyncio.get_running_loop().time()
-        span = self.limits[-1] if self.limits else None
-        if span is None or span.ended_at <= now:
+        period = self.limits[-1] if self.limits else None
+        if period is None or period.ended_at <= now:
             return ()
-        arrival.limit_named_at = now
-        return (("Server-Limit", f"{span.rate:g}"),)
+        arrival.limit_announced_at = now
+        return (("Server-Limit", f"{period.rate:g}"),)
 
-    def crash_by(self, arrival: Arrival) -> None:
+    def crash_during(self, arrival: Arrival) -> None:
         """End under a request; all else that is in progress here is lost with it."""
         arrival.runner_crashed_at = asyncio.get_running_loop().time()
-        arrival.has_broken_off = True
-        if self._crashing is None:
-            self._crashing = asyncio.create_task(self.async_crash())
+        arrival.is_aborted = True
+        if self._crash_task is None:
+            self._crash_task = asyncio.create_task(self.async_crash())
             for notify in self.on_crash:
                 notify(self)
 
@@ -217,13 +219,13 @@
         handler: Callable[[PlainRequest, asyncio.StreamWriter], Awaitable[bool]],
     ) -> None:
         """Handle a path apart from the requests of routes."""
-        self._paths[method, path] = handler
+        self._handlers[method, path] = handler
 
-    async def _async_beat(self) -> None:
+    async def _async_send_heartbeats(self) -> None:
         while True:
-            if not self.is_leaving:
+            if not self.is_draining:
                 self._register()
-            await asyncio.sleep(self.plan.beat_seconds)
+            await asyncio.sleep(self.plan.heartbeat_seconds)
 
     def _register(self) -> None:
         self._seq += 1
@@ -235,7 +237,7 @@
                 "zone": self.plan.zone,
                 "version": "v1",
                 "slots": self.plan.slots,
-                "state": "draining" if self.is_leaving else "ready",
+                "state": "draining" if self.is_draining else "ready",
                 "coldLeftMs": 0,
                 "seq": self._seq,
             },
@@ -244,17 +246,17 @@
     async def _async_handle(
         self, request: PlainRequest, writer: asyncio.StreamWriter
     ) -> bool:
-        special = self._paths.get((request.method, request.path))
+        special = self._handlers.get((request.method, request.path))
         if special is not None:
             return await special(request, writer)
         if "x-request-id" not in request.headers:
             return self._refuse(writer, None, 400)
-        arrival = self._note_arrival(request)
+        arrival = self._record_arrival(request)
         if request.headers.get("x-expect-instance", self.id) != self.id:
             return self._refuse(writer, arrival, 421)
         fault = self.faults.draw(self.random)
         if fault == "shed" or self.is_full():
-            return self._refuse(writer, arrival, RETRY_STATUS)
+            return self._refuse(writer, arrival, OVERLOAD_STATUS)
         try:
             return await self.async_run(request, arrival, fault, writer)
         finally:
@@ -280,20 +282,22 @@
                 arrival.has_run = True
                 try:
                     seconds = self.plan.work_seconds
-                    await asyncio.sleep(seconds * self.random.uniform(*WORK_SPREAD))
+                    await asyncio.sleep(
+                        seconds * self.random.uniform(*WORK_TIME_FACTORS)
+                    )
                 finally:
                     self.active -= 1
                     self.waiting += 1
         finally:
             self.waiting -= 1
-        if request.body.startswith(CRASH_MARK):
-            self.crash_by(arrival)
+        if request.body.startswith(CRASH_PREFIX):
+            self.crash_during(arrival)
             return False
         arrival.status = 500 if fault == "error" else 200
         arrival.body = self._build_body(arrival)
         return await self._async_answer(arrival, fault, writer)
 
-    def _note_arrival(self, request: PlainRequest) -> Arrival:
+    def _record_arrival(self, request: PlainRequest) -> Arrival:
         arrival = Arrival(
             request.headers["x-request-id"],
             self.id,
@@ -303,9 +307,9 @@
             request.target,
             request.headers,
             hashlib.sha256(request.body).hexdigest(),
-            self.left_at,
+            self.withdrawn_at,
         )
-        self.journal.append(arrival)
+        self.arrivals.append(arrival)
         return arrival
 
     def _build_body(self, arrival: Arrival) -> bytes:
@@ -323,10 +327,10 @@
             ("X-Request-Id", arrival.request_id),
             ("X-Response-Seal", f"{arrival.runner_id}.{arrival.request_id}"),
             ("X-Server-Load", load),
-            *self._build_limit(arrival),
+            *self._build_limit_header(arrival),
             *framing,
         ]
-        if self.is_leaving:
+        if self.is_draining:
             headers.append(("Connection", "close"))
         return build_head(arrival.status, headers)
 
@@ -334,21 +338,21 @@
         self, arrival: Arrival, fault: str, writer: asyncio.StreamWriter
     ) -> bool:
         if fault in ("lose_answer", "break_off"):
-            arrival.has_broken_off = True
+            arrival.is_aborted = True
             return False
         if fault == "reset":
-            arrival.has_broken_off = True
-            async_reset_connection(writer)
+            arrival.is_aborted = True
+            reset_connection(writer)
             return False
         if fault == "garbage":
-            arrival.has_broken_off = True
+            arrival.is_aborted = True
             writer.write(b"\x16\x03\x01 this is no answer\r\n\r\n")
             return False
         length = ("Content-Length", str(len(arrival.body)))
         framing = () if fault == "no_length" else (length,)
         body = arrival.body
         if fault == "truncate":
-            arrival.has_broken_off = True
+            arrival.is_aborted = True
             body = body[: len(body) // 2]
         writer.write(self.build_answer_head(arrival, framing) + body)
         if fault == "extra":
@@ -366,14 +370,14 @@
         if arrival is not None:
             arrival.status = status
             headers.append(("X-Request-Id", arrival.request_id))
-            headers += self._build_limit(arrival)
+            headers += self._build_limit_header(arrival)
         writer.write(build_head(status, [*headers, ("Content-Length", "0")]))
         return True
 
-    async def _async_tell_health(
+    async def _async_answer_health(
         self, request: PlainRequest, writer: asyncio.StreamWriter
     ) -> bool:
-        status = 503 if self.is_leaving or self.is_full() else 200
+        status = 503 if self.is_draining or self.is_full() else 200
         headers = [("X-Instance-Id", self.id), ("Content-Length", "0")]
         writer.write(build_head(status, headers))
         return True
--- a/libraries/standins/tarragonward_standins/platform_site.py
+++ b/libraries/standins/tarragonward_standins/platform_site.py
@@ -18,13 +18,13 @@
 from tarragonward_core import Address, TargetError
 from tarragonward_wire import async_send_http
 
-from .platform_checker import Checker, ConfigStep
+from .platform_checker import Checker, ConfigVersion
 from .platform_clients import ClientRequest, PlatformClient
 from .platform_engine import PassSizes
-from .platform_model_runner import ModelRunner, Neighbours
+from .platform_model_runner import ModelRunner, RunnersByAddress
 from .platform_runner import Arrival, PlatformRunner, RunnerPlan
 from .platform_settings import render_settings
-from .platform_store import PlatformStore, StoreDoor
+from .platform_store import PlatformStore, StoreEndpoint
 
 __all__ = [
     "HOST_NAME",
@@ -39,14 +39,14 @@
 
 HOST_MODULE = "tarragonward_platform"
 SETTINGS_VARIABLE = "TARRAGONWARD_BOOT"
-READY_STEP_SECONDS = 0.05
-BALANCER_STEP_SECONDS = 0.5
+READY_POLL_SECONDS = 0.05
+BALANCER_INTERVAL_SECONDS = 0.5
 READY_TIMEOUT_SECONDS = 0.4
-MISSES_UNTIL_OUT = 2
+FAILED_CHECKS_UNTIL_REMOVAL = 2
 SETUP_SECONDS = 30.0
 STOP_SECONDS = 12.0
 # A runner that crashed is back, as another boot, after so long.
-RETURN_SECONDS = (1.5, 3.0)
+CRASH_RESTART_SECONDS = (1.5, 3.0)
 MODEL_SERVICE = "llm"
 PLAIN_SERVICE = "app"
 CONFIG_KEY = "op/config"
@@ -98,15 +98,15 @@
     ready: Address
     control: Address
     peer_port: int
-    door: StoreDoor
+    store_endpoint: StoreEndpoint
     settings: Path
     process: asyncio.subprocess.Process | None = None
-    misses: int = 0
+    failed_checks: int = 0
 
     @property
     def is_in_rotation(self) -> bool:
         """Return whether the balancer sends new connections there."""
-        return self.misses < MISSES_UNTIL_OUT
+        return self.failed_checks < FAILED_CHECKS_UNTIL_REMOVAL
 
 
 class PlatformSite:
@@ -117,7 +117,7 @@
         self.random = random.Random(plan.seed)
         self.store = PlatformStore(plan.seed)
         self.arrivals: list[Arrival] = []
-        self.steps: list[ConfigStep] = []
+        self.config_versions: list[ConfigVersion] = []
         self.hosts: list[PlatformHost] = []
         self.models: list[ModelRunner] = []
         self.plain: list[PlatformRunner] = []
@@ -126,11 +126,11 @@
         self.version = 0
         self._folder = folder
         self._template = template.read_text(encoding="utf-8")
-        self._neighbours: Neighbours = {}
+        self._runners_by_address: RunnersByAddress = {}
         self._seeds = itertools.count(plan.seed * 1_000)
-        self._balancing: asyncio.Task[None] | None = None
+        self._balancer_task: asyncio.Task[None] | None = None
         self._runners: list[PlatformRunner] = []
-        self._replacing: set[asyncio.Task[None]] = set()
+        self._replacement_tasks: set[asyncio.Task[None]] = set()
         self._ports: list[int] = []
 
     async def async_setup(self) -> None:
@@ -143,20 +143,20 @@
                 self.plain.append(await self.async_add_plain(zone))
         for zone in self.plan.zones:
             for number in range(self.plan.hosts_per_zone):
-                self.hosts.append(await self._async_plan_host(zone, number))
+                self.hosts.append(await self._async_allocate_host(zone, number))
         for host in self.hosts:
             await self.async_start_host(host)
         async with asyncio.timeout(SETUP_SECONDS):
             for host in self.hosts:
                 while not await self._async_ask_ready(host):
-                    await asyncio.sleep(READY_STEP_SECONDS)
-        self._balancing = asyncio.create_task(self._async_balance())
+                    await asyncio.sleep(READY_POLL_SECONDS)
+        self._balancer_task = asyncio.create_task(self._async_balance())
 
     async def async_unload(self) -> None:
         """End all that was started."""
-        if self._balancing is not None:
-            self._balancing.cancel()
-        for task in self._replacing:
+        if self._balancer_task is not None:
+            self._balancer_task.cancel()
+        for task in self._replacement_tasks:
             task.cancel()
         for client in self.clients:
             client.close()
@@ -189,15 +189,15 @@
         }
         by_key = {key: name for name, key in self.tenants.items()}
         now = asyncio.get_running_loop().time()
-        self.steps.append(ConfigStep(now, by_prefix, by_key))
+        self.config_versions.append(ConfigVersion(now, by_prefix, by_key))
 
     def check(self) -> list[tuple[str, str]]:
         """Return the broken rules of all that was seen so far."""
-        tickets = [r for model in self.models for r in model.tickets.records]
+        tickets = [r for model in self.models for r in model.reservation_log.records]
         now = asyncio.get_running_loop().time()
-        limits = [span for runner in self._runners for span in runner.limits]
+        limits = [period for runner in self._runners for period in runner.limits]
         return Checker(
-            self.requests, self.arrivals, self.steps, tickets, limits, now
+            self.requests, self.arrivals, self.config_versions, tickets, limits, now
         ).check()
 
     @property
@@ -208,7 +208,9 @@
     def add_client(self, zone: str | None = None) -> PlatformClient:
         """Return a new client; the balancer chooses its host at each connection."""
         key = self.random.choice(list(self.tenants.values()))
-        client = PlatformClient(lambda: self._pick_front(zone), key, next(self._seeds))
+        client = PlatformClient(
+            lambda: self._choose_front(zone), key, next(self._seeds)
+        )
         self.clients.append(client)
         return client
 
@@ -216,7 +218,7 @@
         """Start one more runner of the plain service."""
         plan = RunnerPlan(PLAIN_SERVICE, zone)
         runner = PlatformRunner(plan, self.store, self.arrivals, next(self._seeds))
-        await self._async_begin(runner)
+        await self._async_start_runner(runner)
         return runner
 
     async def async_add_model(self, zone: str) -> ModelRunner:
@@ -229,23 +231,23 @@
             self.arrivals,
             next(self._seeds),
             self.plan.sizes,
-            self._neighbours,
+            self._runners_by_address,
         )
-        await self._async_begin(runner)
+        await self._async_start_runner(runner)
         return runner
 
-    async def _async_begin(self, runner: PlatformRunner) -> None:
+    async def _async_start_runner(self, runner: PlatformRunner) -> None:
         runner.on_crash.append(self._replace)
         await runner.async_setup()
         self._runners.append(runner)
 
     def _replace(self, crashed: PlatformRunner) -> None:
         task = asyncio.create_task(self._async_replace(crashed))
-        self._replacing.add(task)
-        task.add_done_callback(self._replacing.discard)
+        self._replacement_tasks.add(task)
+        task.add_done_callback(self._replacement_tasks.discard)
 
     async def _async_replace(self, crashed: PlatformRunner) -> None:
-        await asyncio.sleep(self.random.uniform(*RETURN_SECONDS))
+        await asyncio.sleep(self.random.uniform(*CRASH_RESTART_SECONDS))
         if isinstance(crashed, ModelRunner):
             self.models.append(await self.async_add_model(crashed.plan.zone))
         else:
@@ -254,7 +256,7 @@
     async def async_start_host(self, host: PlatformHost) -> None:
         """Start a host's process with its settings rendered anew."""
         host.settings.write_text(
-            render_settings(self._template, self._describe_host(host)),
+            render_settings(self._template, self._build_settings_fields(host)),
             encoding="utf-8",
         )
         environment = {**os.environ, SETTINGS_VARIABLE: str(host.settings)}
@@ -280,7 +282,7 @@
         """Return what a host has logged."""
         return (self._folder / f"{host.name}.log").read_text(encoding="utf-8")
 
-    def _pick_front(self, zone: str | None) -> Address:
+    def _choose_front(self, zone: str | None) -> Address:
         near = [host for host in self.hosts if zone in (None, host.zone)]
         ready = [host for host in near if host.is_in_rotation]
         if len(ready) * 2 < len(near):
@@ -289,10 +291,10 @@
 
     async def _async_balance(self) -> None:
         while True:
-            await asyncio.sleep(BALANCER_STEP_SECONDS)
+            await asyncio.sleep(BALANCER_INTERVAL_SECONDS)
             for host in self.hosts:
                 is_ready = await self._async_ask_ready(host)
-                host.misses = 0 if is_ready else host.misses + 1
+                host.failed_checks = 0 if is_ready else host.failed_checks + 1
 
     async def _async_ask_ready(self, host: PlatformHost) -> bool:
         with suppress(TargetError):
@@ -302,7 +304,7 @@
             return answer.status == 200
         return False
 
-    async def _async_plan_host(self, zone: str, number: int) -> PlatformHost:
+    async def _async_allocate_host(self, zone: str, number: int) -> PlatformHost:
         name = f"front-{zone}-{number + 1}"
         ip = _build_ip(len(self.hosts))
         if not self._ports:
@@ -317,11 +319,11 @@
             Address(ip, ready),
             Address(ip, control),
             peer,
-            await self.store.async_open_door(),
+            await self.store.async_add_endpoint(),
             self._folder / f"{name}.toml",
         )
 
-    def _describe_host(self, host: PlatformHost) -> dict[str, Any]:
+    def _build_settings_fields(self, host: PlatformHost) -> dict[str, Any]:
         return {
             "node": host.name,
             "role": "entry",
@@ -345,7 +347,7 @@
             "tolerate": {"machines": 1, "zones": 1, "regions": 0},
             "bounds": BOUNDS,
             "platform": {
-                "address": str(host.door.address),
+                "address": str(host.store_endpoint.address),
                 "form": "read",
                 "readsPerS": 2000,
                 "historyS": 20,
--- a/libraries/standins/tarragonward_standins/platform_store.py
+++ b/libraries/standins/tarragonward_standins/platform_store.py
@@ -19,19 +19,19 @@
 from .platform_http import (
     PlainRequest,
     PlainServer,
-    async_reset_connection,
     build_head,
+    reset_connection,
 )
 
-__all__ = ["PlatformStore", "StoreDoor", "StoreTrouble"]
+__all__ = ["PlatformStore", "StoreEndpoint", "StoreFault"]
 
 PAGE_ITEMS = 50
 MAX_WAIT_MS = 30_000
 MILLISECONDS = 1_000
-STALE_PRICE = 0.1
+STALE_READ_COST = 0.1
 
 
-class StoreTrouble(Enum):
+class StoreFault(Enum):
     """What befalls calls to the store."""
 
     NONE = "none"
@@ -63,11 +63,11 @@
 
 
 @dataclass(eq=False)
-class StoreDoor:
+class StoreEndpoint:
     """An address of the store; a machine that has one of its own can be refused."""
 
     store: PlatformStore
-    trouble: StoreTrouble = StoreTrouble.NONE
+    fault: StoreFault = StoreFault.NONE
     server: PlainServer = field(init=False)
     proxy: FaultProxy = field(init=False)
 
@@ -94,32 +94,32 @@
         self, request: PlainRequest, writer: asyncio.StreamWriter
     ) -> bool:
         store = self.store
-        for trouble in (store.trouble, self.trouble):
-            if not await _async_befall(trouble, store.random, writer):
+        for fault in (store.fault, self.fault):
+            if not await _async_apply_fault(fault, store.random, writer):
                 return False
         status, payload = await store.async_call(request)
-        loses = StoreTrouble.LOSES_ANSWERS in (store.trouble, self.trouble)
-        if loses and store.random.random() < store.lost_share:
+        loses = StoreFault.LOSES_ANSWERS in (store.fault, self.fault)
+        if loses and store.random.random() < store.answer_loss_rate:
             await asyncio.Event().wait()
         _write_json(writer, status, payload)
         return True
 
 
-async def _async_befall(
-    trouble: StoreTrouble, rng: random.Random, writer: asyncio.StreamWriter
+async def _async_apply_fault(
+    fault: StoreFault, rng: random.Random, writer: asyncio.StreamWriter
 ) -> bool:
-    if trouble is StoreTrouble.REFUSES:
+    if fault is StoreFault.REFUSES:
         _write_json(writer, 503, {})
         return False
-    if trouble is StoreTrouble.BUSY:
+    if fault is StoreFault.BUSY:
         _write_json(writer, 429, {})
         return False
-    if trouble is StoreTrouble.RESETS:
-        async_reset_connection(writer)
+    if fault is StoreFault.RESETS:
+        reset_connection(writer)
         return False
-    if trouble is StoreTrouble.SILENT:
+    if fault is StoreFault.SILENT:
         await asyncio.Event().wait()
-    if trouble is StoreTrouble.SLOW:
+    if fault is StoreFault.SLOW:
         await asyncio.sleep(rng.uniform(0.3, 1.2))
     return True
 
@@ -135,8 +135,8 @@
 
     def __init__(self, seed: int = 1, reads_per_second: float = 2_000.0) -> None:
         self.random = random.Random(seed)
-        self.trouble = StoreTrouble.NONE
-        self.lost_share = 0.35
+        self.fault = StoreFault.NONE
+        self.answer_loss_rate = 0.35
         self.reads_per_second = reads_per_second
         self.calls = 0.0
         self.revision = 100
@@ -145,7 +145,7 @@
         self._history_from = self.revision
         self._changed = asyncio.Event()
         self._recent_calls: deque[float] = deque()
-        self._doors: list[StoreDoor] = []
+        self._endpoints: list[StoreEndpoint] = []
         self._calls_by_path: dict[
             str, Callable[[dict[str, str]], Awaitable[tuple[int, Any]]]
         ] = {
@@ -154,38 +154,38 @@
             "/kv-watch": self._async_watch,
         }
 
-    async def async_open_door(self) -> StoreDoor:
+    async def async_add_endpoint(self) -> StoreEndpoint:
         """Listen on one more address."""
-        door = StoreDoor(self)
-        await door.async_setup()
-        self._doors.append(door)
-        return door
+        endpoint = StoreEndpoint(self)
+        await endpoint.async_setup()
+        self._endpoints.append(endpoint)
+        return endpoint
 
     async def async_unload(self) -> None:
         """Close all addresses."""
-        for door in self._doors:
-            await door.async_unload()
+        for endpoint in self._endpoints:
+            await endpoint.async_unload()
 
     def put(self, key: str, value: Any) -> int:
         """Write a document and return its revision."""
         self.revision += 1
-        known = self._items.get(key)
-        created = known.created if known is not None else self.revision
-        self._note(_Item(key, self.revision, created, orjson.dumps(value)))
+        existing = self._items.get(key)
+        created = existing.created if existing is not None else self.revision
+        self._record(_Item(key, self.revision, created, orjson.dumps(value)))
         return self.revision
 
     def delete(self, key: str) -> None:
         """Remove a key; a tombstone tells those who watch."""
         if key in self._items:
             self.revision += 1
-            self._note(_Item(key, self.revision, 0, None))
+            self._record(_Item(key, self.revision, 0, None))
 
     def drop_history(self) -> None:
         """Forget all changes: whoever watches from before now hears 410."""
         self._history.clear()
         self._history_from = self.revision
 
-    def _note(self, item: _Item) -> None:
+    def _record(self, item: _Item) -> None:
         if item.value is None:
             del self._items[item.key]
         else:
@@ -201,7 +201,7 @@
             return 404, {}
         query = request.query
         is_stale = query.get("allowStale") == "1"
-        self.calls += STALE_PRICE if is_stale else 1.0
+        self.calls += STALE_READ_COST if is_stale else 1.0
         if not is_stale and not self._is_within_rate():
             return 429, {}
         return await call(query)
--- a/libraries/standins/tests/test_platform_checker.py
+++ b/libraries/standins/tests/test_platform_checker.py
@@ -6,19 +6,19 @@
 import pytest
 
 from tarragonward_core import Address
-from tarragonward_standins.platform_checker import Checker, ConfigStep
+from tarragonward_standins.platform_checker import Checker, ConfigVersion
 from tarragonward_standins.platform_clients import Attempt, ClientRequest, RequestPlan
-from tarragonward_standins.platform_model_runner import build_piece
-from tarragonward_standins.platform_runner import Arrival, LimitSpan
+from tarragonward_standins.platform_model_runner import build_stream_event
+from tarragonward_standins.platform_runner import Arrival, RateLimitPeriod
 
 NODE = Address("127.0.0.1", 1)
-STEP = ConfigStep(0.0, {"/a/": frozenset({"s"})}, {"k": "town"})
+VERSION = ConfigVersion(0.0, {"/a/": frozenset({"s"})}, {"k": "town"})
 
 
 def build_day(kind="non_idempotent", **plan):
     """Return one request that was served as it should be."""
-    plan = RequestPlan("/a/", kind, "h", "/a/x", body=b"in", subject="7:9", **plan)
-    attempt = Attempt("r", NODE, 10.0, {"x-key": "k"}, status=200, is_whole=True)
+    plan = RequestPlan("/a/", kind, "h", "/a/x", body=b"in", prompt_id="7:9", **plan)
+    attempt = Attempt("r", NODE, 10.0, {"x-key": "k"}, status=200, is_complete=True)
     attempt.answer = {"x-request-id": "r", "x-response-seal": "i.r"}
     attempt.ended_at = 11.0
     attempt.body = b"out"
@@ -29,11 +29,13 @@
     arrival.ended_at = 10.9
     request = ClientRequest(plan, 10.0, [attempt])
     if kind == "stream":
-        request.pieces = build_piece("7:9", 1, False) + build_piece("7:9", 2, True)
+        request.received_events = build_stream_event(
+            "7:9", 1, False
+        ) + build_stream_event("7:9", 2, True)
     return request, attempt, arrival
 
 
-def judge(request, arrivals, steps=(STEP,)):
+def judge(request, arrivals, steps=(VERSION,)):
     return {rule for rule, _ in Checker([request], arrivals, list(steps)).check()}
 
 
@@ -104,22 +106,22 @@
 
 def test_a_run_long_after_the_runner_began_to_leave_is_found():
     request, _, arrival = build_day()
-    assert judge(request, [replace(arrival, runner_left_at=8.0)]) == {"DRAIN"}
-    assert judge(request, [replace(arrival, runner_left_at=8.2)]) == set()
+    assert judge(request, [replace(arrival, runner_withdrawn_at=8.0)]) == {"DRAIN"}
+    assert judge(request, [replace(arrival, runner_withdrawn_at=8.2)]) == set()
 
 
 @pytest.mark.parametrize(
     "pieces",
     [
-        build_piece("7:9", 2, True),
-        build_piece("7:9", 1, False) * 2 + build_piece("7:9", 2, True),
-        build_piece("7:9", 1, False),
-        build_piece("7:9", 1, False) + build_piece("8:9", 2, True),
+        build_stream_event("7:9", 2, True),
+        build_stream_event("7:9", 1, False) * 2 + build_stream_event("7:9", 2, True),
+        build_stream_event("7:9", 1, False),
+        build_stream_event("7:9", 1, False) + build_stream_event("8:9", 2, True),
     ],
 )
 def test_pieces_out_of_order_missing_or_joined_are_found(pieces):
     request, _, arrival = build_day("stream")
-    request.pieces = pieces
+    request.received_events = pieces
     assert judge(request, [arrival]) == {"ORDER"}
 
 
@@ -127,19 +129,21 @@
     request, attempt, _ = build_day()
     attempt.status = 404
     assert judge(request, []) == {"CONFIG"}
-    other = ConfigStep(7.0, {}, {"k": "town"})
-    assert judge(request, [], [other, replace(STEP, acked_at=7.5)]) == {"CONFIG"}
-    assert judge(request, [], [other, replace(STEP, acked_at=8.5)]) == set()
+    other = ConfigVersion(7.0, {}, {"k": "town"})
+    assert judge(request, [], [other, replace(VERSION, acknowledged_at=7.5)]) == {
+        "CONFIG"
+    }
+    assert judge(request, [], [other, replace(VERSION, acknowledged_at=8.5)]) == set()
 
 
 def test_requests_lost_held_or_at_work_for_nobody_are_found():
     lost = build_day()
-    lost[1].status, lost[1].is_whole = 0, False
+    lost[1].status, lost[1].is_complete = 0, False
     assert judge_many(lost) == {"LOST"}
     held = build_day(timeout_seconds=0.2)
     assert judge_many(held) == {"CONFIG"}
     gone = build_day()
-    gone[1].status, gone[1].is_whole, gone[1].has_left = 0, False, True
+    gone[1].status, gone[1].is_complete, gone[1].has_disconnected = 0, False, True
     gone[1].ended_at = 10.2
     assert judge_many(gone) == {"GONE"}
 
@@ -153,15 +157,18 @@
         changed = replace(attempt, request_id=request_id, answer=answer)
         requests.append(replace(request, attempts=[changed]))
         arrivals.append(replace(arrival, request_id=request_id))
-    return {rule for rule, _ in Checker(requests, arrivals, [STEP]).check()}
+    return {rule for rule, _ in Checker(requests, arrivals, [VERSION]).check()}
 
 
 def test_an_event_that_tells_of_new_weights_is_the_event_that_it_was():
     request, _, arrival = build_day("stream")
-    first, second = build_piece("7:9", 1, False), build_piece("7:9", 2, True)
-    request.pieces = first + b"x-weight-versions: 2\n" + second
+    first, second = (
+        build_stream_event("7:9", 1, False),
+        build_stream_event("7:9", 2, True),
+    )
+    request.received_events = first + b"x-weight-versions: 2\n" + second
     assert judge(request, [arrival]) == set()
-    request.pieces = first + b"x-weight-versions: two\n" + second
+    request.received_events = first + b"x-weight-versions: two\n" + second
     assert judge(request, [arrival]) == {"ORDER"}
 
 
@@ -197,8 +204,8 @@
 ):
     request, attempt, arrival = build_day("idempotent")
     named_at = 10.1 if told else None
-    first = replace(arrival, at=10.1, limit_named_at=named_at)
+    first = replace(arrival, at=10.1, limit_announced_at=named_at)
     arrivals = [first, *(replace(arrival, at=10.0 + stable_at) for _ in range(count))]
-    span = LimitSpan("i", 1.0, 10.0)
-    checker = Checker([request], arrivals, [STEP], limits=[span])
+    span = RateLimitPeriod("i", 1.0, 10.0)
+    checker = Checker([request], arrivals, [VERSION], limits=[span])
     assert ("LIMIT" in {rule for rule, _ in checker.check()}) == broken
--- a/libraries/standins/tests/test_platform_engine.py
+++ b/libraries/standins/tests/test_platform_engine.py
@@ -16,13 +16,13 @@
             return events
         result = engine.begin_pass()
         now += result.seconds
-        events += [(now, work.id, tokens) for work, tokens in result.written]
+        events += [(now, work.id, tokens) for work, tokens in result.decoded]
         for work in engine.end_pass(result):
-            if not (work.is_part or work.waits_for or work.written):
-                work.written = 1
+            if not (work.is_part or work.pending_parts or work.generated_tokens):
+                work.generated_tokens = 1
                 events.append((now, work.id, 1))
         for work in list(engine.running):
-            if not work.is_part and work.written >= work.answer_tokens:
+            if not work.is_part and work.generated_tokens >= work.answer_tokens:
                 engine.remove(work)
     raise AssertionError("the engine never ends")
 
@@ -63,7 +63,7 @@
     """
     engine = PassEngine(SIZES)
     whole = PassWork("whole", 40_000, 1)
-    older = PassWork("older", 400_000, 1, part_tokens=50_000, waits_for=1)
+    older = PassWork("older", 400_000, 1, part_tokens=50_000, pending_parts=1)
     newer = PassWork("newer", 400_000, 0, part_tokens=50_000, is_part=True)
     for work in (whole, older):
         engine.add(work)
@@ -103,9 +103,9 @@
     assert engine.reserve("b", 60, 9.0, True, 0.0) == 202
     assert engine.reserve("a", 60, 1.0, False, 0.5) == 200
     engine.expire(1.2)
-    assert engine.tickets["b"].is_waiting
+    assert engine.reservations["b"].is_waiting
     engine.expire(1.6)
-    assert not engine.tickets["b"].is_waiting
+    assert not engine.reservations["b"].is_waiting
     engine.release("b")
     assert engine.free_tokens == 100
 
--- a/libraries/standins/tests/test_platform_model_runner.py
+++ b/libraries/standins/tests/test_platform_model_runner.py
@@ -17,9 +17,11 @@
 @pytest.fixture
 async def pair():
     """Two runners: the first is asked, the second holds a part of the prompt."""
-    store, neighbours, journal = PlatformStore(), {}, []
+    store, runners_by_address, arrivals = PlatformStore(), {}, []
     pair = [
-        ModelRunner(RunnerPlan("s", "a"), store, journal, seed, SIZES, neighbours)
+        ModelRunner(
+            RunnerPlan("s", "a"), store, arrivals, seed, SIZES, runners_by_address
+        )
         for seed in (1, 2)
     ]
     for runner in pair:
@@ -57,7 +59,7 @@
     reader, writer = await async_send(first, f"{second.address}/t")
     answer = await async_read_to_end(reader)
     assert not answer.endswith(b"0\r\n\r\n")
-    assert "t" not in second.engine.tickets
+    assert "t" not in second.engine.reservations
     writer.close()
 
 
@@ -105,7 +107,7 @@
     sent.append(await async_send(first, f"{second.address}/t"))
     async with asyncio.timeout(WAIT_SECONDS):
         assert b" 503 " in await sent[1][0].readuntil(b"\r\n\r\n")
-    assert second.tickets.get("t").is_shared
+    assert second.reservation_log.get("t").is_shared
     for _, writer in sent:
         writer.close()
 
--- a/libraries/standins/tests/test_platform_tickets.py
+++ b/libraries/standins/tests/test_platform_tickets.py
@@ -2,55 +2,58 @@
 
 import pytest
 
-from tarragonward_standins.platform_engine import Ticket
-from tarragonward_standins.platform_tickets import TicketJournal, judge_tickets
+from tarragonward_standins.platform_engine import Reservation
+from tarragonward_standins.platform_reservations import (
+    ReservationLog,
+    check_reservations,
+)
 
 
 @pytest.fixture
-def journal():
-    journal = TicketJournal("i")
-    journal.note([Ticket("t", 9, 30.0, 0.0)], 0.0)
-    return journal
+def log():
+    log = ReservationLog("i")
+    log.note([Reservation("t", 9, 30.0, 0.0)], 0.0)
+    return log
 
 
-def judge(journal, now):
-    return judge_tickets(journal.records, now)
+def judge(log, now):
+    return check_reservations(log.records, now)
 
 
-def test_a_reservation_that_is_used_and_freed_breaks_nothing(journal):
-    record = journal.get("t")
+def test_a_reservation_that_is_used_and_freed_breaks_nothing(log):
+    record = log.get("t")
     record.begin_use("r")
     record.end_use("r", 20.0)
-    journal.note([], 23.9)
-    assert judge(journal, 99.0) == []
+    log.note([], 23.9)
+    assert judge(log, 99.0) == []
 
 
-def test_memory_that_stays_set_aside_after_its_last_use_is_found(journal):
-    record = journal.get("t")
+def test_memory_that_stays_set_aside_after_its_last_use_is_found(log):
+    record = log.get("t")
     record.begin_use("r")
-    assert judge(journal, 99.0) == []
+    assert judge(log, 99.0) == []
     record.end_use("r", 20.0)
-    assert judge(journal, 23.9) == []
-    assert judge(journal, 24.1) == [("LEAK", "i/t")]
+    assert judge(log, 23.9) == []
+    assert judge(log, 24.1) == [("LEAK", "i/t")]
 
 
-def test_memory_that_no_request_uses_is_found(journal):
-    assert judge(journal, 8.9) == []
-    assert judge(journal, 9.1) == [("STUCK", "i/t")]
-    journal.note([], 9.2)
-    assert judge(journal, 99.0) == [("STUCK", "i/t")]
+def test_memory_that_no_request_uses_is_found(log):
+    assert judge(log, 8.9) == []
+    assert judge(log, 9.1) == [("STUCK", "i/t")]
+    log.note([], 9.2)
+    assert judge(log, 99.0) == [("STUCK", "i/t")]
 
 
-def test_two_requests_on_one_reservation_are_found(journal):
-    record = journal.get("t")
+def test_two_requests_on_one_reservation_are_found(log):
+    record = log.get("t")
     record.begin_use("r")
     record.begin_use("q")
     record.end_use("q", 1.0)
-    assert judge(journal, 2.0) == [("LIMIT", "i/t")]
+    assert judge(log, 2.0) == [("LIMIT", "i/t")]
 
 
-def test_a_reservation_made_anew_under_its_id_is_another_one(journal):
-    journal.note([], 5.0)
-    journal.note([Ticket("t", 9, 30.0, 6.0)], 6.0)
-    assert len(journal.records) == 2
-    assert judge(journal, 14.0) == []
+def test_a_reservation_made_anew_under_its_id_is_another_one(log):
+    log.note([], 5.0)
+    log.note([Reservation("t", 9, 30.0, 6.0)], 6.0)
+    assert len(log.records) == 2
+    assert judge(log, 14.0) == []
--- a/tests/test_platform_day.py
+++ b/tests/test_platform_day.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from tarragonward_standins.platform_checker import count_crashes
+from tarragonward_standins.platform_checker import find_crashed_runners
 from tarragonward_standins.platform_clients import RequestPlan
 from tarragonward_standins.platform_day import DayPlan, PlatformDay
 from tarragonward_standins.platform_engine import PassSizes
-from tarragonward_standins.platform_runner import CRASH_MARK, RunnerFaults
+from tarragonward_standins.platform_runner import CRASH_PREFIX, RunnerFaults
 from tarragonward_standins.platform_site import (
     HOST_NAME,
     MODEL_SERVICE,
@@ -22,7 +22,7 @@
     PlatformSite,
     describe_route,
 )
-from tarragonward_standins.platform_store import StoreTrouble
+from tarragonward_standins.platform_store import StoreFault
 
 TEMPLATE = Path(__file__).parents[1] / "deploy" / "settings.toml"
 SMALL = PlatformPlan(zones=("a", "b"), models_per_zone=1)
@@ -48,7 +48,7 @@
 def explain(site, report):
     """Return what a failed check needs to be traced."""
     logs = "\n".join(site.read_log(host)[-3_000:] for host in site.hosts)
-    return f"{report.format_line()} {report.score} {report.broken[:9]}\n{logs}"
+    return f"{report.format_line()} {report.score} {report.violations[:9]}\n{logs}"
 
 
 def ask(path, kind, **options):
@@ -58,7 +58,7 @@
 async def test_a_calm_day_is_served_whole_and_hosts_end_in_order(make_site):
     site = await make_site()
     report = await PlatformDay(site, DayPlan(seconds=2.0)).async_play()
-    assert not report.broken, explain(site, report)
+    assert not report.violations, explain(site, report)
     assert 0 < report.score["sent"] == report.score["whole"], explain(site, report)
     codes = await asyncio.gather(*map(site.async_stop_host, site.hosts))
     assert codes == [0] * len(site.hosts)
@@ -76,7 +76,7 @@
         runner.faults = RunnerFaults(*[share] * len(vars(RunnerFaults())))
     day = DayPlan(seconds=2.0, drafts_per_second=30, leaving_share=0.05, seed=3)
     report = await PlatformDay(site, day).async_play()
-    assert not report.broken, explain(site, report)
+    assert not report.violations, explain(site, report)
     assert report.score["whole"] > report.score["sent"] / 2
 
 
@@ -89,7 +89,7 @@
     crashing = asyncio.ensure_future(site.models[0].async_crash())
     report = await playing
     crashing.cancel()
-    assert not report.broken, explain(site, report)
+    assert not report.violations, explain(site, report)
     assert report.score["whole"] > report.score["sent"] * 0.9, explain(site, report)
 
 
@@ -101,7 +101,7 @@
     plan = ask(
         "/draft/crash",
         "stream",
-        body=CRASH_MARK + b"1",
+        body=CRASH_PREFIX + b"1",
         headers=(("X-Model", "m"), ("X-Token-Counts", "2000,400")),
         is_resumable=True,
     )
@@ -110,18 +110,18 @@
         await client.async_request(plan)
         await asyncio.sleep(0.3)
     report = await playing
-    assert not report.broken, explain(site, report)
-    ended = count_crashes(site.arrivals)
+    assert not report.violations, explain(site, report)
+    ended = find_crashed_runners(site.arrivals)
     assert 3 <= len(ended) <= 6, explain(site, report)
 
 
 async def test_a_runner_that_names_a_limit_gets_no_more(make_site):
     """One of three runners takes one request a second from all hosts together."""
     site = await make_site(PlatformPlan(plain_per_zone=1))
-    site.plain[0].name_limit(1.0)
+    site.plain[0].set_rate_limit(1.0)
     day = DayPlan(seconds=9.0, drafts_per_second=2, calls_per_second=30, seed=8)
     report = await PlatformDay(site, day).async_play()
-    assert not report.broken, explain(site, report)
+    assert not report.violations, explain(site, report)
     assert report.score["whole"] > report.score["sent"] * 0.98, explain(site, report)
 
 
@@ -140,12 +140,12 @@
     await playing
     with suppress(TimeoutError):
         async with asyncio.timeout(FREE_SECONDS):
-            while any(model.engine.tickets for model in site.models[1:]):
+            while any(model.engine.reservations for model in site.models[1:]):
                 await asyncio.sleep(0.05)
     await crashing
     report = day.judge()
-    assert any(model.tickets.records for model in site.models)
-    assert not report.broken, explain(site, report)
+    assert any(model.reservation_log.records for model in site.models)
+    assert not report.violations, explain(site, report)
 
 
 async def test_planned_work_cuts_off_nothing(make_site):
@@ -158,7 +158,7 @@
     day = PlatformDay(site, DayPlan(seconds=4.5, calls_per_second=40, seed=5))
     playing = asyncio.ensure_future(day.async_play())
     await asyncio.sleep(0.5)
-    leaving = asyncio.ensure_future(site.plain[0].async_leave(3.0))
+    leaving = asyncio.ensure_future(site.plain[0].async_drain(3.0))
     site.publish(
         [*ROUTES, describe_route("new", "idempotent", PLAIN_SERVICE, attempts=2)]
     )
@@ -168,7 +168,7 @@
     report = await playing
     await leaving
     assert code == 0
-    assert not report.broken, explain(site, report)
+    assert not report.violations, explain(site, report)
     assert not report.score["status_0"], explain(site, report)
     new = await site.add_client("b").async_request(ask("/new/x", "idempotent"))
     assert new.is_success
@@ -183,14 +183,14 @@
     site = await make_site()
     host = site.hosts[0]
     client = site.add_client(host.zone)
-    host.door.trouble = StoreTrouble.REFUSES
+    host.store_endpoint.fault = StoreFault.REFUSES
     site.publish([*ROUTES, describe_route("new", "idempotent", MODEL_SERVICE)])
     site.store.drop_history()
     await asyncio.sleep(1.0)
     assert (await client.async_request(ask("/look/1", "idempotent"))).is_success
-    host.door.trouble = StoreTrouble.SILENT
+    host.store_endpoint.fault = StoreFault.SILENT
     assert (await client.async_request(ask("/look/2", "idempotent"))).is_success
-    host.door.trouble = StoreTrouble.NONE
+    host.store_endpoint.fault = StoreFault.NONE
     plan = ask("/new/x", "idempotent", method="GET")
     async with asyncio.timeout(10):
         while not (await client.async_request(plan)).is_success:
@@ -207,7 +207,7 @@
     await site.async_kill_host(site.hosts[0])
     await site.async_start_host(site.hosts[0])
     report = await playing
-    rules = {rule for rule, _ in report.broken}
+    rules = {rule for rule, _ in report.violations}
     assert rules <= {"LOST"}, explain(site, report)
     assert report.score["whole"] > report.score["sent"] * 0.8, explain(site, report)
 
