--- a/libraries/bench/tarragonward_bench/soak_configuration.py
+++ b/libraries/bench/tarragonward_bench/soak_configuration.py
@@ -209,7 +209,7 @@
     def _take(self, history: ConfigurationHistory, entries: list[LogEntry]) -> None:
         """Take entries over, and push what was new to another host."""
         taken = history.extend(entries)
-        new = [entry_result.entry for entry_result in taken.entry_results]
+        new = [patch_result.entry for patch_result in taken.patch_results]
         if new:
             other = self._pick_host().history
             self._post(lambda: self._take(other, new))
--- a/libraries/bench/tests/test_soak.py
+++ b/libraries/bench/tests/test_soak.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tarragonward_bench.soak import MACHINES, run_seed
-from tarragonward_config import ConfigurationHistory, Outcome, UpdateResult
+from tarragonward_config import ApplyResult, ConfigurationHistory, Outcome
 from tarragonward_core import ResultCode
 from tarragonward_requests import CallLedger, Reply, Send
 from tarragonward_requests.ledger import CallState
@@ -83,13 +83,13 @@
     history._entries.clear()
     history._sizes.clear()
     history.state = state
-    return UpdateResult(Outcome.APPLIED)
+    return ApplyResult(Outcome.APPLIED)
 
 
 def take_entries_over_a_gap(history, entries):
     new = [entry for entry in entries if entry.sequence > history.sequence]
     if not new or history.state is None:
-        return UpdateResult(Outcome.NOTHING_NEW)
+        return ApplyResult(Outcome.NOTHING_NEW)
     new.sort(key=lambda entry: entry.sequence)
     return history._apply(replace(history.state, sequence=new[0].sequence - 1), new)
 
--- a/libraries/config/tarragonward_config/__init__.py
+++ b/libraries/config/tarragonward_config/__init__.py
@@ -11,9 +11,9 @@
     parse_configuration,
 )
 from .history import (
+    ApplyResult,
     ConfigurationHistory,
     Outcome,
-    UpdateResult,
     decode_entries,
     encode_entries,
     parse_entry,
@@ -27,9 +27,9 @@
 )
 from .patches import (
     ConfigurationState,
-    EntryResult,
     LogEntry,
     PatchRecord,
+    PatchResult,
     Verdict,
     apply_entries,
     apply_entry,
@@ -46,7 +46,7 @@
     "ConfigurationState",
     "EngineOrder",
     "EngineOrderState",
-    "EntryResult",
+    "PatchResult",
     "Limits",
     "LogEntry",
     "Model",
@@ -56,7 +56,7 @@
     "PatchRecord",
     "Service",
     "Settings",
-    "UpdateResult",
+    "ApplyResult",
     "Target",
     "Verdict",
     "apply_entries",
--- a/libraries/config/tarragonward_config/history.py
+++ b/libraries/config/tarragonward_config/history.py
@@ -14,9 +14,9 @@
 from . import const as c
 from .patches import (
     ConfigurationState,
-    EntryResult,
     LogEntry,
     PatchRecord,
+    PatchResult,
     compute_digest,
     evaluate_entry,
 )
@@ -24,7 +24,7 @@
 __all__ = [
     "ConfigurationHistory",
     "Outcome",
-    "UpdateResult",
+    "ApplyResult",
     "decode_entries",
     "encode_entries",
     "parse_entry",
@@ -41,11 +41,11 @@
 
 
 @dataclass(frozen=True)
-class UpdateResult:
+class ApplyResult:
     """The outcome of an update, and the results of its new entries."""
 
     outcome: Outcome
-    entry_results: tuple[EntryResult, ...] = ()
+    patch_results: tuple[PatchResult, ...] = ()
 
 
 class ConfigurationHistory:
@@ -77,7 +77,7 @@
         """Raise the floor to a fencing number reported by an engine."""
         self.floor = max(self.floor, number)
 
-    def apply_snapshot(self, state: ConfigurationState) -> UpdateResult:
+    def apply_snapshot(self, state: ConfigurationState) -> ApplyResult:
         """Apply a snapshot if it is newer; retained entries are discarded then.
 
         A stale replica, or a platform restored from an older snapshot, returns an old
@@ -89,20 +89,20 @@
             is_same = state.sequence < current.sequence or (
                 compute_digest(state) == self.digest
             )
-            return UpdateResult(Outcome.NOTHING_NEW if is_same else Outcome.FORK)
+            return ApplyResult(Outcome.NOTHING_NEW if is_same else Outcome.FORK)
         if current is not None and state.number < current.number:
-            return UpdateResult(Outcome.FORK)
+            return ApplyResult(Outcome.FORK)
         self._entries.clear()
         self._sizes.clear()
         self._activate(state)
-        return UpdateResult(Outcome.APPLIED)
+        return ApplyResult(Outcome.APPLIED)
 
     def record_snapshot_entry(self, entry: LogEntry) -> None:
         """Retain the entry at a snapshot's sequence, to detect a forked log."""
         if not self._entries and entry.sequence == self.sequence:
             self._append(entry)
 
-    def extend(self, entries: Sequence[LogEntry]) -> UpdateResult:
+    def extend(self, entries: Sequence[LogEntry]) -> ApplyResult:
         """Apply the entries that are new, in the order of the log.
 
         A log restored from an old backup may grow past this host's sequence with other
@@ -112,13 +112,13 @@
         known = {entry.sequence: entry for entry in self._entries}
         ordered = sorted(entries, key=lambda entry: entry.sequence)
         if any(known.get(e.sequence, e) != e for e in ordered):
-            return UpdateResult(Outcome.FORK)
+            return ApplyResult(Outcome.FORK)
         new = [entry for entry in ordered if entry.sequence > self.sequence]
         if not new:
-            return UpdateResult(Outcome.NOTHING_NEW)
+            return ApplyResult(Outcome.NOTHING_NEW)
         state = self.state
         if state is None or new[0].sequence != state.sequence + 1:
-            return UpdateResult(Outcome.GAP)
+            return ApplyResult(Outcome.GAP)
         return self._apply(state, new)
 
     def get_entries_after(self, sequence: int) -> tuple[LogEntry, ...] | None:
@@ -133,22 +133,22 @@
         """Return the last retained entry, if any."""
         return self._entries[-1] if self._entries else None
 
-    def _apply(self, state: ConfigurationState, new: list[LogEntry]) -> UpdateResult:
-        entry_results = []
+    def _apply(self, state: ConfigurationState, new: list[LogEntry]) -> ApplyResult:
+        patch_results = []
         for entry in new:
             try:
-                entry_result = evaluate_entry(state, entry)
+                patch_result = evaluate_entry(state, entry)
             except ConfigurationError:
                 break
-            state = entry_result.state
-            entry_results.append(entry_result)
+            state = patch_result.state
+            patch_results.append(patch_result)
             self._append(entry)
-        # Keep records only: an EntryResult references the whole state after the entry.
+        # Keep records only: an PatchResult references the whole state after the entry.
         self.verdicts.extend(
-            entry_result.build_record() for entry_result in entry_results
+            patch_result.build_record() for patch_result in patch_results
         )
         self._activate(state)
-        return UpdateResult(Outcome.APPLIED, tuple(entry_results))
+        return ApplyResult(Outcome.APPLIED, tuple(patch_results))
 
     def _activate(self, state: ConfigurationState) -> None:
         invariants.check(
--- a/libraries/config/tarragonward_config/orders.py
+++ b/libraries/config/tarragonward_config/orders.py
@@ -77,13 +77,13 @@
             report.get("loading") is True,
         )
 
-    def has(self, order: EngineOrder) -> bool:
+    def has_accepted(self, order: EngineOrder) -> bool:
         """Return whether the order's models were accepted, loaded or not."""
         return self.models == order.build_body()["models"]
 
     def has_loaded(self, order: EngineOrder) -> bool:
         """Return whether the order's models are loaded and ready to serve."""
-        return self.has(order) and not self.is_loading
+        return self.has_accepted(order) and not self.is_loading
 
 
 class OrderDecision(Enum):
@@ -124,7 +124,7 @@
     """
     if reported is not None and reported.fencing > order.fencing:
         return OrderDecision.CATCH_UP
-    if reported is not None and reported.has(order):
+    if reported is not None and reported.has_accepted(order):
         if reported.fencing == order.fencing:
             return OrderDecision.NOTHING
     return OrderDecision.SEND if checks_fencing else OrderDecision.VERIFY_THEN_SEND
--- a/libraries/config/tarragonward_config/patches.py
+++ b/libraries/config/tarragonward_config/patches.py
@@ -18,7 +18,7 @@
 
 __all__ = [
     "ConfigurationState",
-    "EntryResult",
+    "PatchResult",
     "LogEntry",
     "PatchRecord",
     "Verdict",
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True)
-class EntryResult:
+class PatchResult:
     """The result of an entry: the state after it, the verdict and its reason."""
 
     state: ConfigurationState
@@ -121,11 +121,11 @@
 
     Raise ConfigurationError if the entry is not the next one in the log.
     """
-    entry_result = evaluate_entry(state, entry)
-    return entry_result.state, entry_result.verdict
+    patch_result = evaluate_entry(state, entry)
+    return patch_result.state, patch_result.verdict
 
 
-def evaluate_entry(state: ConfigurationState, entry: LogEntry) -> EntryResult:
+def evaluate_entry(state: ConfigurationState, entry: LogEntry) -> PatchResult:
     """Evaluate the next log entry: a pure function, so that all hosts agree.
 
     A patch written against another number than the current one changes nothing.
@@ -137,7 +137,7 @@
         )
     if entry.base != state.number:
         reason = f"written against {entry.base}, but {state.number} was in force"
-        return EntryResult(
+        return PatchResult(
             _build_rejected_state(state, entry), entry, Verdict.STALE, reason
         )
     try:
@@ -147,13 +147,13 @@
         )
     except INVALID_PATCH_ERRORS as err:
         reason = f"{type(err).__name__}: {err}"[:MAX_REASON_CHARACTERS]
-        return EntryResult(
+        return PatchResult(
             _build_rejected_state(state, entry), entry, Verdict.INVALID, reason
         )
     accepted = ConfigurationState(
         entry.sequence, entry.sequence, document, configuration
     )
-    return EntryResult(accepted, entry, Verdict.ACCEPTED)
+    return PatchResult(accepted, entry, Verdict.ACCEPTED)
 
 
 def apply_operations(
--- a/libraries/config/tests/test_history.py
+++ b/libraries/config/tests/test_history.py
@@ -98,10 +98,10 @@
 def test_a_stale_patch_is_recorded_with_its_base_and_reason():
     history = make_history()
     history.extend([set_weight(9, 7, 50)])
-    entry_result = history.verdicts[-1]
-    assert entry_result.verdict is Verdict.STALE
-    assert (entry_result.sequence, entry_result.base) == (9, 7)
-    assert entry_result.reason == "written against 7, but 8 was in force"
+    patch_result = history.verdicts[-1]
+    assert patch_result.verdict is Verdict.STALE
+    assert (patch_result.sequence, patch_result.base) == (9, 7)
+    assert patch_result.reason == "written against 7, but 8 was in force"
     assert (history.state.number, history.sequence) == (8, 9)
 
 
@@ -153,9 +153,9 @@
 def test_any_patch_gets_a_verdict(operations):
     """An unexpected exception would stop the configuration watch of every host."""
     state = build_state(0, 0, DOCUMENT)
-    entry_result = evaluate_entry(state, LogEntry(1, 0, tuple(operations)))
-    if entry_result.verdict is not Verdict.ACCEPTED:
-        assert entry_result.state.document == DOCUMENT and entry_result.reason
+    patch_result = evaluate_entry(state, LogEntry(1, 0, tuple(operations)))
+    if patch_result.verdict is not Verdict.ACCEPTED:
+        assert patch_result.state.document == DOCUMENT and patch_result.reason
 
 
 def test_replaced_states_are_not_referenced():
--- a/libraries/config/tests/test_sharing.py
+++ b/libraries/config/tests/test_sharing.py
@@ -68,10 +68,10 @@
     assert try_to(apply_operations, old, own) == expected
     assert (old, own) == (DOCUMENT, operations)
     state = build_state(0, 0, old)
-    entry_result = evaluate_entry(state, LogEntry(1, 0, tuple(own)))
-    if entry_result.verdict is Verdict.ACCEPTED:
-        whole = parse_configuration(copy.deepcopy(entry_result.state.document))
-        assert entry_result.state.configuration == whole
+    patch_result = evaluate_entry(state, LogEntry(1, 0, tuple(own)))
+    if patch_result.verdict is Verdict.ACCEPTED:
+        whole = parse_configuration(copy.deepcopy(patch_result.state.document))
+        assert patch_result.state.configuration == whole
     else:
         with pytest.raises(ConfigurationError):
             parse_configuration(expected)
--- a/libraries/daemon/tarragonward_daemon/configuration.py
+++ b/libraries/daemon/tarragonward_daemon/configuration.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from tarragonward_config import (
+    ApplyResult,
     ConfigurationHistory,
     EngineOrderState,
-    EntryResult,
     LogEntry,
     Outcome,
     PatchRecord,
-    UpdateResult,
+    PatchResult,
     Verdict,
     build_state,
     parse_entry,
@@ -194,7 +194,7 @@
 
     async def _async_take_checked(
         self, replica: Address, entries: list[LogEntry]
-    ) -> UpdateResult:
+    ) -> ApplyResult:
         last = self.history.get_last_entry()
         if last is not None:
             path = f"{LOG_ROUTE}?after={last.sequence - 1}&wait=0"
@@ -204,10 +204,10 @@
         self._apply_result(taken, str(replica))
         return taken
 
-    def _apply_result(self, taken: UpdateResult, source: str) -> None:
+    def _apply_result(self, taken: ApplyResult, source: str) -> None:
         """Activate an applied state; log and count refused patches and forks."""
-        for entry_result in taken.entry_results:
-            self._report_judgement(entry_result)
+        for patch_result in taken.patch_results:
+            self._report_judgement(patch_result)
         if taken.outcome is Outcome.FORK:
             self._host.metrics.count("configuration_forks")
             log_event(
@@ -217,16 +217,16 @@
             self._activate()
             self.peers.push(taken)
 
-    def _report_judgement(self, entry_result: EntryResult) -> None:
-        verdict = entry_result.verdict
+    def _report_judgement(self, patch_result: PatchResult) -> None:
+        verdict = patch_result.verdict
         self._host.metrics.count("configuration_verdicts", verdict.value)
         log_event(
             "configuration_patch_judged",
-            sequence=entry_result.entry.sequence,
-            base=entry_result.entry.base,
+            sequence=patch_result.entry.sequence,
+            base=patch_result.entry.base,
             verdict=verdict.value,
             code=_get_code_number(verdict),
-            reason=entry_result.reason or None,
+            reason=patch_result.reason or None,
         )
 
     def _activate(self) -> None:
--- a/libraries/daemon/tarragonward_daemon/configuration_peers.py
+++ b/libraries/daemon/tarragonward_daemon/configuration_peers.py
@@ -11,10 +11,10 @@
 import orjson
 
 from tarragonward_config import (
+    ApplyResult,
     ConfigurationHistory,
     LogEntry,
     Outcome,
-    UpdateResult,
     build_state,
     decode_entries,
     encode_entries,
@@ -70,7 +70,7 @@
         links: PeerLinks,
         membership: MembershipTask,
         history: ConfigurationHistory,
-        on_result: Callable[[UpdateResult, str], None],
+        on_result: Callable[[ApplyResult, str], None],
     ) -> None:
         self._host = host
         self._links = links
@@ -89,9 +89,9 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def push(self, taken: UpdateResult) -> None:
+    def push(self, taken: ApplyResult) -> None:
         """Push newly applied entries to the neighbours."""
-        entries = [entry_result.entry for entry_result in taken.entry_results]
+        entries = [patch_result.entry for patch_result in taken.patch_results]
         if not entries:
             return
         update = self._build_update(tuple(entries), b"")
@@ -223,7 +223,7 @@
         if sequence < 0 or sequence != self._history.sequence:
             return
         if digest != self._history.digest:
-            self._on_result(UpdateResult(Outcome.FORK), source)
+            self._on_result(ApplyResult(Outcome.FORK), source)
 
 
 def choose_neighbours(
--- a/libraries/daemon/tarragonward_daemon/orders.py
+++ b/libraries/daemon/tarragonward_daemon/orders.py
@@ -115,7 +115,7 @@
         except TargetError:
             return
         decision = decide_order(order, reported, engine.checks_fencing)
-        starts_load = reported is None or not reported.has(order)
+        starts_load = reported is None or not reported.has_accepted(order)
         if decision in SENDING_DECISIONS and starts_load:
             if not await self._loads.async_may_load(engine, orders):
                 self._report_result(engine, order, "held back")
--- a/libraries/wire/tarragonward_wire/links.py
+++ b/libraries/wire/tarragonward_wire/links.py
@@ -154,7 +154,7 @@
     delay: float = 0.0
     retry_at: float = 0.0
 
-    def fail(self) -> None:
+    def record_failure(self) -> None:
         """Increase the delay before the next attempt, with jitter."""
         self.delay = min(
             max(self.delay * 2, c.RECONNECT_MIN_DELAY_SECONDS),
@@ -304,7 +304,7 @@
         if task.cancelled():
             return
         if task.exception() is not None:
-            self._backoffs.setdefault(address, _Backoff()).fail()
+            self._backoffs.setdefault(address, _Backoff()).record_failure()
             return
         self._backoffs.pop(address, None)
         self._links[address] = task.result()
--- a/libraries/wire/tarragonward_wire/peers.py
+++ b/libraries/wire/tarragonward_wire/peers.py
@@ -47,7 +47,7 @@
         self._listen = listen or identity.address
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._links = 0
+        self._link_count = 0
 
     async def async_setup(self) -> None:
         """Start listening."""
@@ -66,13 +66,13 @@
     async def _async_accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._links >= c.MAX_LINKS_ACCEPTED:
+        if self._link_count >= c.MAX_LINKS_ACCEPTED:
             writer.transport.abort()
             return
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        self._links += 1
+        self._link_count += 1
         enable_keepalive(writer)
         try:
             stream = await async_handshake(
@@ -85,7 +85,7 @@
             # The task of this connection ends here; asyncio logs cancelled ones.
             pass
         finally:
-            self._links -= 1
+            self._link_count -= 1
             self._tasks.discard(task)
             writer.transport.abort()
 
--- a/libraries/wire/tests/test_answer_limit.py
+++ b/libraries/wire/tests/test_answer_limit.py
@@ -8,38 +8,38 @@
 from tarragonward_wire.answer_limit import AnswerDeadline
 
 
-async def async_wait(limit, pieces, pause):
+async def async_wait(deadline, pieces, pause):
     """Record the arrival of pieces of an answer, each after a pause."""
-    async with limit.timer:
+    async with deadline.timer:
         for _ in range(pieces):
             await asyncio.sleep(pause)
-            limit.record_progress()
+            deadline.record_progress()
 
 
 async def test_progress_extends_the_deadline():
-    limit = AnswerDeadline(0.1, inactivity_timeout=0.1)
-    await async_wait(limit, 8, 0.05)
-    assert 0.3 < limit.transfer_seconds < limit.waited_seconds
+    deadline = AnswerDeadline(0.1, inactivity_timeout=0.1)
+    await async_wait(deadline, 8, 0.05)
+    assert 0.3 < deadline.transfer_seconds < deadline.waited_seconds
 
 
 async def test_inactivity_ends_the_wait():
-    limit = AnswerDeadline(0.1, inactivity_timeout=0.1)
+    deadline = AnswerDeadline(0.1, inactivity_timeout=0.1)
     with pytest.raises(TimeoutError):
-        await async_wait(limit, 2, 0.4)
+        await async_wait(deadline, 2, 0.4)
 
 
 async def test_a_trickling_answer_is_bounded(monkeypatch):
     """A faulty peer sends a byte now and then; its answer would never be given up."""
     monkeypatch.setattr(answer_limit, "MAX_TRANSFER_SECONDS", 0.3)
-    limit = AnswerDeadline(0.1, inactivity_timeout=0.1)
+    deadline = AnswerDeadline(0.1, inactivity_timeout=0.1)
     with pytest.raises(TimeoutError):
-        await async_wait(limit, 100, 0.05)
+        await async_wait(deadline, 100, 0.05)
 
 
 async def test_without_inactivity_timeout_the_total_time_is_limited():
-    limit = AnswerDeadline(0.2, inactivity_timeout=None)
+    deadline = AnswerDeadline(0.2, inactivity_timeout=None)
     with pytest.raises(TimeoutError):
-        await async_wait(limit, 8, 0.05)
+        await async_wait(deadline, 8, 0.05)
 
 
 async def test_data_that_arrives_as_the_deadline_expires_does_no_harm():
@@ -48,12 +48,12 @@
     The timer has expired, but its task has not run yet. An expired timer can't be
     rescheduled; the error would end the reader and fail all requests on the link.
     """
-    limit = AnswerDeadline(5.0, inactivity_timeout=5.0)
+    deadline = AnswerDeadline(5.0, inactivity_timeout=5.0)
     loop, errors = asyncio.get_running_loop(), []
     loop.set_exception_handler(lambda _, context: errors.append(context))
     with pytest.raises(TimeoutError):
-        async with limit.timer:
-            limit.timer.reschedule(loop.time())
-            loop.call_soon(limit.record_progress)
+        async with deadline.timer:
+            deadline.timer.reschedule(loop.time())
+            loop.call_soon(deadline.record_progress)
             await asyncio.sleep(1.0)
     assert errors == []
