--- a/libraries/bench/tarragonward_bench/harm/__init__.py
+++ b/libraries/bench/tarragonward_bench/harm/__init__.py
@@ -1,14 +1,14 @@
-"""Randomised runs of what all hosts together do to targets, on a fake network."""
+"""Randomised runs on a simulated network: the load that all hosts put on targets."""
 
 from .crashes import CrashPlan, CrashRun, run_crash_seed
-from .host import HarmFleet, HarmHost
+from .host import GossipFleet, GossipHost
 from .limits import LimitPlan, LimitRun, run_limit_seed
 
 __all__ = [
     "CrashPlan",
     "CrashRun",
-    "HarmFleet",
-    "HarmHost",
+    "GossipFleet",
+    "GossipHost",
     "LimitPlan",
     "LimitRun",
     "run_crash_seed",
--- a/libraries/bench/tarragonward_bench/harm/crashes.py
+++ b/libraries/bench/tarragonward_bench/harm/crashes.py
@@ -8,40 +8,40 @@
 from tarragonward_requests import SuspectTracker, Verdict
 
 from ..hearing.world import Links, World
-from .host import HarmFleet, HarmHost, Section
-from .troubles import HostTroubles
+from .host import GossipFleet, GossipHost, Section
+from .troubles import FaultInjector
 
 __all__ = ["CrashPlan", "CrashRun", "run_crash_seed"]
 
 SECTION = "suspects"
-ATTEMPTS = 2
-# The users' rule: known after three crashes, to hosts in touch for so long; and more
-# sends than so many after that break it.
-CRASHES_KNOWN = 3
-STABLE_SECONDS = 3.0
-SENDS_ALLOWED = 3
-BEGIN_SECONDS = (0.0, 0.1)
-CRASH_SECONDS = (0.02, 0.12)
-WORK_SECONDS = (0.1, 2.0)
-RETURN_SECONDS = (2.0, 4.0)
-SETTLE_SECONDS = 4.0
-REPEAT_SECONDS = (0.05, 1.0)
-# Some callers repeat at several hosts at the same moment.
-AT_ONCE = (1, 1, 1, 4)
-HERD_SECONDS = (4.0, 12.0)
-HERD_SHARES = (0.05, 0.3)
-LOSS = 0.02
-SIZES = (5, 9)
+MAX_ATTEMPTS = 2
+# The requirement of the users: connected hosts refuse a request after three crashes;
+# more than MAX_LATE_SENDS sends after that violate it.
+REFUSAL_CRASHES = 3
+CONNECTED_SECONDS = 3.0
+MAX_LATE_SENDS = 3
+SEND_DELAY_SECONDS = (0.0, 0.1)
+CRASH_DELAY_SECONDS = (0.02, 0.12)
+EXECUTION_SECONDS = (0.1, 2.0)
+TARGET_RESTART_SECONDS = (2.0, 4.0)
+WARM_UP_SECONDS = 4.0
+REPEAT_INTERVAL_SECONDS = (0.05, 1.0)
+# Some callers repeat a request at several hosts at the same moment.
+CONCURRENT_REPEATS = (1, 1, 1, 4)
+MASS_CRASH_INTERVAL_SECONDS = (4.0, 12.0)
+MASS_CRASH_SHARES = (0.05, 0.3)
+DATAGRAM_LOSS_RATE = 0.02
+FLEET_SIZES = (5, 9)
 
 
 @dataclass(frozen=True)
 class CrashPlan:
-    """What one run plays; seconds are those of the fake clock."""
+    """The settings of one run; seconds are simulated time."""
 
     hosts: int = 9
     domains: int = 3
     targets: int = 20
-    culprits: int = 1
+    crashing_requests: int = 1
     requests_a_second: float = 60.0
     seconds: float = 25.0
     has_troubles: bool = True
@@ -51,16 +51,16 @@
 class _Request:
     fingerprint: bytes
     size: int
-    is_culprit: bool = False
+    crashes_targets: bool = False
     sends: list[tuple[float, bool]] = field(default_factory=list)
-    ended: dict[int, float] = field(default_factory=dict)
+    crashed_boots: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(eq=False)
 class _Attempt:
     request: _Request
-    host: HarmHost
-    tried: set[int] = field(default_factory=set)
+    host: GossipHost
+    tried_boots: set[int] = field(default_factory=set)
 
 
 @dataclass(eq=False)
@@ -71,226 +71,251 @@
     is_dead: bool = False
 
 
-class _Host(HarmHost):
+class _Host(GossipHost):
     def __init__(self, run: CrashRun, number: int) -> None:
         super().__init__(run.fleet, number)
-        self.ledger = SuspectTracker()
-        self.gossip = SuspectGossip(self.ledger, self.members, self.random)
-        self.sections[SECTION] = Section(self._build, self._take)
+        self.tracker = SuspectTracker()
+        self.gossip = SuspectGossip(self.tracker, self.members, self.random)
+        self.sections[SECTION] = Section(self._build, self._apply)
 
     def _build(self) -> list[object] | None:
-        told = self.gossip.choose_next()
-        return self.gossip.build(told, self.world.now) or None
+        fingerprints = self.gossip.choose_next()
+        return self.gossip.build(fingerprints, self.world.now) or None
 
-    def _take(self, data: list[object], age: float) -> None:
+    def _apply(self, data: list[object], age: float) -> None:
         self.gossip.merge(data, age, self.world.now)
-        self._arm()
+        self._schedule_send()
 
     def record_change(self, fingerprint: bytes) -> None:
         self.gossip.record_change(fingerprint, self.world.now)
-        self._arm()
+        self._schedule_send()
 
-    def _arm(self) -> None:
+    def _schedule_send(self) -> None:
         if self.gossip.due_at is not None:
-            self.world.at(self.gossip.due_at, self._tell)
+            self.world.schedule_at(self.gossip.due_at, self._send_due)
 
-    def _tell(self) -> None:
-        if not self.wake_at(self._tell):
+    def _send_due(self) -> None:
+        if not self.run_or_defer(self._send_due):
             return
-        for news in self.gossip.take_due(self.world.now):
-            content = self.gossip.build(news.fingerprints, self.world.now)
-            self.tell(news.hosts, SECTION, content)
+        for due in self.gossip.take_due(self.world.now):
+            content = self.gossip.build(due.fingerprints, self.world.now)
+            self.send_section(due.hosts, SECTION, content)
 
 
 class CrashRun:
-    """One run: callers, hosts, and targets that end under marked requests."""
+    """One run: callers, hosts, and targets that certain requests crash."""
 
     def __init__(self, plan: CrashPlan, seed: int) -> None:
         self.plan = plan
         self.world = World(seed)
         self.random = self.world.random
-        self.fleet = HarmFleet(self.world, Links(LOSS), plan.domains)
+        self.fleet = GossipFleet(self.world, Links(DATAGRAM_LOSS_RATE), plan.domains)
         self.targets = [_Target(n, n) for n in range(plan.targets)]
-        self._boots = plan.targets
-        self.innocent_refused = self.asked = self.answered = 0
-        self.culprits = [
-            _Request(self._draw_fingerprint(), 900 + n, is_culprit=True)
-            for n in range(plan.culprits)
+        self._next_boot = plan.targets
+        self.harmless_refused = self.request_count = self.answer_count = 0
+        self.crashing_requests = [
+            _Request(self._create_fingerprint(), 900 + n, crashes_targets=True)
+            for n in range(plan.crashing_requests)
         ]
         for number in range(plan.hosts):
-            self.make_host(number)
+            self.start_host(number)
         for host in self.fleet.hosts.values():
-            host.settle()
+            host.learn_all_hosts()
 
     def run(self) -> CrashRun:
-        """Play the run; raise AssertionError where the rule is broken."""
-        begin = self.world.now + SETTLE_SECONDS
+        """Run the simulation; raise AssertionError if the requirement is violated."""
+        begin = self.world.now + WARM_UP_SECONDS
         self._until = begin + self.plan.seconds
         if self.plan.has_troubles:
-            HostTroubles(self.fleet, self.make_host, self._until).begin()
-        self.world.at(begin, self._ask_one)
-        self.world.at(begin, self._crash_herd)
-        for culprit in self.culprits:
-            self.world.at(begin, lambda each=culprit: self._repeat(each))
+            FaultInjector(self.fleet, self.start_host, self._until).begin()
+        self.world.schedule_at(begin, self._send_next_request)
+        self.world.schedule_at(begin, self._crash_many_targets)
+        for crashing_request in self.crashing_requests:
+            self.world.schedule_at(
+                begin, lambda each=crashing_request: self._repeat(each)
+            )
         self.world.run(self._until + 1.0)
-        self.judge()
+        self.check()
         return self
 
     def describe(self) -> str:
         """Return the run's figures."""
-        ended = ",".join(str(len(culprit.ended)) for culprit in self.culprits)
-        late = ",".join(str(self.count_late_sends(each)) for each in self.culprits)
+        crashed_boots = ",".join(
+            str(len(crashing_request.crashed_boots))
+            for crashing_request in self.crashing_requests
+        )
+        late = ",".join(
+            str(self.count_late_sends(each)) for each in self.crashing_requests
+        )
         return (
-            f"crashes asked={self.asked} answered={self.answered} "
-            f"innocents_refused={self.innocent_refused} "
-            f"targets_ended={ended or 0} late_sends={late or 0}"
+            f"crashes asked={self.request_count} answered={self.answer_count} "
+            f"innocents_refused={self.harmless_refused} "
+            f"targets_ended={crashed_boots or 0} late_sends={late or 0}"
         )
 
-    def judge(self) -> None:
-        """Check each culprit by the rule, and that no innocent paid without one."""
-        for culprit in self.culprits:
-            late = self.count_late_sends(culprit)
-            ended = len(culprit.ended)
-            assert late <= SENDS_ALLOWED, f"{late} sends late, {ended} targets ended"
-        if not self.culprits:
-            assert not self.innocent_refused, "refused without a culprit"
-
-    def count_late_sends(self, culprit: _Request) -> int:
-        """Return the sends of hosts in touch after all of them should have known."""
-        ends = sorted(culprit.ended.values())
-        if len(ends) < CRASHES_KNOWN:
+    def check(self) -> None:
+        """Check the sends of each crashing request, and that no other was refused.
+
+        Other requests may be refused only if there is a crashing request.
+        """
+        for crashing_request in self.crashing_requests:
+            late = self.count_late_sends(crashing_request)
+            crashed_boots = len(crashing_request.crashed_boots)
+            assert late <= MAX_LATE_SENDS, (
+                f"{late} sends late, {crashed_boots} targets ended"
+            )
+        if not self.crashing_requests:
+            assert not self.harmless_refused, "refused without a crashing request"
+
+    def count_late_sends(self, crashing_request: _Request) -> int:
+        """Return the sends by connected hosts after all of them should refuse."""
+        crash_times = sorted(crashing_request.crashed_boots.values())
+        if len(crash_times) < REFUSAL_CRASHES:
             return 0
-        known_at = ends[CRASHES_KNOWN - 1] + STABLE_SECONDS
-        return sum(is_in_touch and at > known_at for at, is_in_touch in culprit.sends)
+        refused_from = crash_times[REFUSAL_CRASHES - 1] + CONNECTED_SECONDS
+        return sum(
+            has_been_connected and at > refused_from
+            for at, has_been_connected in crashing_request.sends
+        )
 
-    def make_host(self, number: int) -> HarmHost:
-        """Start a host, or another life of it."""
+    def start_host(self, number: int) -> GossipHost:
+        """Start a host, or a new incarnation of it."""
         host = _Host(self, number)
         self.fleet.hosts[host.address] = host
         return host
 
-    def _draw_fingerprint(self) -> bytes:
+    def _create_fingerprint(self) -> bytes:
         return self.random.randbytes(8)
 
-    def _ask_one(self) -> None:
+    def _send_next_request(self) -> None:
         if self.world.now >= self._until:
             return
-        request = _Request(self._draw_fingerprint(), self.random.randrange(2_000))
-        self._ask(request)
-        wait = self.random.expovariate(self.plan.requests_a_second)
-        self.world.after(wait, self._ask_one)
+        request = _Request(self._create_fingerprint(), self.random.randrange(2_000))
+        self._submit(request)
+        delay = self.random.expovariate(self.plan.requests_a_second)
+        self.world.schedule_after(delay, self._send_next_request)
 
-    def _repeat(self, culprit: _Request) -> None:
+    def _repeat(self, crashing_request: _Request) -> None:
         if self.world.now >= self._until:
             return
-        for _ in range(self.random.choice(AT_ONCE)):
-            self._ask(culprit)
-        wait = self.random.uniform(*REPEAT_SECONDS)
-        self.world.after(wait, lambda: self._repeat(culprit))
+        for _ in range(self.random.choice(CONCURRENT_REPEATS)):
+            self._submit(crashing_request)
+        delay = self.random.uniform(*REPEAT_INTERVAL_SECONDS)
+        self.world.schedule_after(delay, lambda: self._repeat(crashing_request))
 
-    def _ask(self, request: _Request) -> None:
+    def _submit(self, request: _Request) -> None:
         host = self.random.choice(list(self.fleet.hosts.values()))
-        self.asked += 1
-        self._begin(_Attempt(request, host))
+        self.request_count += 1
+        self._start_attempt(_Attempt(request, host))
 
-    def _begin(self, attempt: _Attempt) -> None:
-        if not attempt.host.wake_at(self._begin, attempt):
+    def _start_attempt(self, attempt: _Attempt) -> None:
+        if not attempt.host.run_or_defer(self._start_attempt, attempt):
             return
         request, host = attempt.request, attempt.host
         is_isolated = host.members.is_isolated
-        verdict = host.ledger.evaluate(request.fingerprint, self.world.now, is_isolated)
+        verdict = host.tracker.evaluate(
+            request.fingerprint, self.world.now, is_isolated
+        )
         if verdict is Verdict.REFUSED:
-            host.ledger.record_refused(request.fingerprint, self.world.now)
-            self.innocent_refused += not request.is_culprit
-        elif verdict is not Verdict.LATER and len(attempt.tried) < ATTEMPTS:
+            host.tracker.record_refused(request.fingerprint, self.world.now)
+            self.harmless_refused += not request.crashes_targets
+        elif verdict is not Verdict.LATER and len(attempt.tried_boots) < MAX_ATTEMPTS:
             self._send(attempt, verdict is Verdict.ALONE)
 
-    def _send(self, attempt: _Attempt, is_alone: bool) -> None:
+    def _send(self, attempt: _Attempt, is_isolated_attempt: bool) -> None:
         request, host = attempt.request, attempt.host
-        ready = [t for t in self.targets if t.boot not in attempt.tried]
-        ready = [t for t in ready if not t.is_dead]
-        if not ready:
+        candidates = [t for t in self.targets if t.boot not in attempt.tried_boots]
+        candidates = [t for t in candidates if not t.is_dead]
+        if not candidates:
             return
-        if not is_alone:
-            ready = self.random.sample(ready, min(2, len(ready)))
-        target = min(ready, key=lambda t: len(t.running))
-        attempt.tried.add(target.boot)
+        if not is_isolated_attempt:
+            candidates = self.random.sample(candidates, min(2, len(candidates)))
+        target = min(candidates, key=lambda t: len(t.running))
+        attempt.tried_boots.add(target.boot)
         target.running[attempt] = None
-        request.sends.append((self.world.now, host.is_in_touch(STABLE_SECONDS)))
-        if is_alone:
-            host.ledger.begin_isolated_attempt(request.fingerprint, self.world.now)
+        request.sends.append(
+            (self.world.now, host.has_been_connected(CONNECTED_SECONDS))
+        )
+        if is_isolated_attempt:
+            host.tracker.begin_isolated_attempt(request.fingerprint, self.world.now)
             host.record_change(request.fingerprint)
-        wait = self.random.uniform(*BEGIN_SECONDS)
-        if request.is_culprit:
-            wait += self.random.uniform(*CRASH_SECONDS)
-            self.world.after(wait, lambda: self._end_target(target, attempt))
+        delay = self.random.uniform(*SEND_DELAY_SECONDS)
+        if request.crashes_targets:
+            delay += self.random.uniform(*CRASH_DELAY_SECONDS)
+            self.world.schedule_after(
+                delay, lambda: self._crash_target(target, attempt)
+            )
         else:
-            wait += self.random.uniform(*WORK_SECONDS)
-            self.world.after(wait, lambda: self._answer(target, attempt))
+            delay += self.random.uniform(*EXECUTION_SECONDS)
+            self.world.schedule_after(delay, lambda: self._complete(target, attempt))
 
-    def _answer(self, target: _Target, attempt: _Attempt) -> None:
+    def _complete(self, target: _Target, attempt: _Attempt) -> None:
         if attempt not in target.running:
             return
         del target.running[attempt]
-        self._take_answer(attempt)
+        self._handle_answer(attempt)
 
-    def _take_answer(self, attempt: _Attempt) -> None:
+    def _handle_answer(self, attempt: _Attempt) -> None:
         host, fingerprint = attempt.host, attempt.request.fingerprint
-        if not host.wake_at(self._take_answer, attempt):
+        if not host.run_or_defer(self._handle_answer, attempt):
             return
-        self.answered += 1
-        if host.ledger.record_answered(fingerprint, self.world.now):
+        self.answer_count += 1
+        if host.tracker.record_answered(fingerprint, self.world.now):
             host.record_change(fingerprint)
 
-    def _end_target(self, target: _Target, by: _Attempt | None) -> None:
-        if target.is_dead or (by is not None and by not in target.running):
+    def _crash_target(self, target: _Target, cause: _Attempt | None) -> None:
+        if target.is_dead or (cause is not None and cause not in target.running):
             return
         target.is_dead = True
-        if by is not None:
-            by.request.ended.setdefault(target.boot, self.world.now)
+        if cause is not None:
+            cause.request.crashed_boots.setdefault(target.boot, self.world.now)
         for attempt in list(target.running):
-            delay = self.world.draw_delay()
-            self.world.after(delay, lambda a=attempt: self._note_lost(a, target))
+            delay = self.world.sample_delay()
+            self.world.schedule_after(
+                delay, lambda a=attempt: self._handle_lost(a, target)
+            )
         target.running.clear()
-        wait = self.random.uniform(*RETURN_SECONDS)
-        self.world.after(wait, lambda: self._return(target))
+        delay = self.random.uniform(*TARGET_RESTART_SECONDS)
+        self.world.schedule_after(delay, lambda: self._restart_target(target))
 
-    def _return(self, old: _Target) -> None:
-        self.targets[old.number] = _Target(old.number, self._boots)
-        self._boots += 1
+    def _restart_target(self, previous: _Target) -> None:
+        self.targets[previous.number] = _Target(previous.number, self._next_boot)
+        self._next_boot += 1
 
-    def _note_lost(self, attempt: _Attempt, target: _Target) -> None:
+    def _handle_lost(self, attempt: _Attempt, target: _Target) -> None:
         host, request = attempt.host, attempt.request
-        if not host.wake_at(self._note_lost, attempt, target):
+        if not host.run_or_defer(self._handle_lost, attempt, target):
             return
         now = self.world.now
-        host.ledger.record_crash(request.fingerprint, request.size, target.boot, now)
+        host.tracker.record_crash(request.fingerprint, request.size, target.boot, now)
         host.record_change(request.fingerprint)
-        self._begin(attempt)
+        self._start_attempt(attempt)
 
-    def _crash_herd(self) -> None:
-        """End some targets at once, by no request."""
+    def _crash_many_targets(self) -> None:
+        """Crash some targets at once, without a request as the cause."""
         if self.world.now >= self._until:
             return
         alive = [target for target in self.targets if not target.is_dead]
-        count = int(len(alive) * self.random.uniform(*HERD_SHARES))
+        count = int(len(alive) * self.random.uniform(*MASS_CRASH_SHARES))
         for target in self.random.sample(alive, count):
-            self._end_target(target, None)
-        self.world.after(self.random.uniform(*HERD_SECONDS), self._crash_herd)
+            self._crash_target(target, None)
+        self.world.schedule_after(
+            self.random.uniform(*MASS_CRASH_INTERVAL_SECONDS), self._crash_many_targets
+        )
 
 
-def draw_plan(seed: int) -> CrashPlan:
-    """Return the small plan of a seed, each third without a culprit."""
-    hosts = SIZES[seed % len(SIZES)]
+def choose_plan(seed: int) -> CrashPlan:
+    """Return a seed's plan: a small fleet, every third without crashing requests."""
+    hosts = FLEET_SIZES[seed % len(FLEET_SIZES)]
     return CrashPlan(
         hosts=hosts,
         targets=2 * hosts,
-        culprits=seed % 3,
+        crashing_requests=seed % 3,
         requests_a_second=3.0 * hosts,
         seconds=10.0,
     )
 
 
 def run_crash_seed(seed: int) -> int:
-    """Run one seed; raise AssertionError where a rule is broken."""
-    return CrashRun(draw_plan(seed), seed).run().world.events
+    """Run one seed; raise AssertionError if the requirement is violated."""
+    return CrashRun(choose_plan(seed), seed).run().world.events
--- a/libraries/bench/tarragonward_bench/harm/host.py
+++ b/libraries/bench/tarragonward_bench/harm/host.py
@@ -1,4 +1,4 @@
-"""A host of the runs of harm: membership, and sections that hosts tell each other."""
+"""A simulated host: membership, and the sections that hosts exchange by gossip."""
 
 from __future__ import annotations
 
@@ -24,43 +24,43 @@
 from ..hearing.host import build_address
 from ..hearing.world import Links, World
 
-__all__ = ["HarmFleet", "HarmHost", "Section"]
+__all__ = ["GossipFleet", "GossipHost", "Section"]
 
-SEEDS = 3
-ROUND_JITTER = (0.9, 1.1)
+SEED_COUNT = 3
+GOSSIP_INTERVAL_JITTER = (0.9, 1.1)
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True)
 class Section:
-    """What a part of a host tells in each hello, and what takes a peer's word of it."""
+    """A section of a hello: builds its content, and applies that of a peer."""
 
     build: Callable[[], Any]
-    take: Callable[[Any, float], None]
+    apply: Callable[[Any, float], None]
 
 
 @dataclass
-class HarmFleet:
-    """What all hosts share in a run; bytes are those of hellos and sections."""
+class GossipFleet:
+    """What all hosts of a run share; sent_bytes counts hellos and sections."""
 
     world: World
     links: Links
     domains: int
-    hosts: dict[Address, HarmHost] = field(default_factory=dict)
+    hosts: dict[Address, GossipHost] = field(default_factory=dict)
     sent_bytes: int = 0
-    messages: int = 0
+    message_count: int = 0
 
 
-class HarmHost:
-    """One life of a host; troubled_until is when its last trouble ended."""
+class GossipHost:
+    """One incarnation of a host; disturbed_until is when its last fault ended."""
 
-    def __init__(self, fleet: HarmFleet, number: int) -> None:
+    def __init__(self, fleet: GossipFleet, number: int) -> None:
         self.fleet, self.world = fleet, fleet.world
         self.number = number
         self.domain = f"domain-{number % fleet.domains}"
         self.address = build_address(number)
         self.random = random.Random(self.world.random.random())
-        seeds = [build_address(seed) for seed in range(SEEDS)]
+        seeds = [build_address(seed) for seed in range(SEED_COUNT)]
         self.members = SeedMembership(
             HostIdentity(self.address, self.random.getrandbits(48)),
             f"host-{number}",
@@ -71,59 +71,63 @@
         )
         self.sections: dict[str, Section] = {}
         self.is_dead = False
-        self.frozen_until = NEVER
-        self.troubled_until = self.world.now
-        self._sent = self._sent_brief = 0
-        self._round()
+        self.paused_until = NEVER
+        self.disturbed_until = self.world.now
+        self._hello_bytes = self._brief_hello_bytes = 0
+        self._run_gossip_round()
 
-    def is_in_touch(self, stable_seconds: float) -> bool:
-        """Return whether the host ran and was connected for so long."""
+    def has_been_connected(self, seconds: float) -> bool:
+        """Return whether the host has run and been connected for so many seconds."""
         links = self.fleet.links
-        is_cut = self.number in links.side or self.number in links.alone
-        calm = self.world.now - self.troubled_until
-        return not self.is_dead and not is_cut and calm >= stable_seconds
+        is_partitioned = (
+            self.number in links.partition or self.number in links.isolated_hosts
+        )
+        connected_seconds = self.world.now - self.disturbed_until
+        return not self.is_dead and not is_partitioned and connected_seconds >= seconds
 
-    def freeze(self, seconds: float) -> None:
-        """Let the host stand still for so long."""
-        self.frozen_until = self.troubled_until = self.world.now + seconds
+    def pause(self, seconds: float) -> None:
+        """Pause the host's process."""
+        self.paused_until = self.disturbed_until = self.world.now + seconds
 
-    def settle(self) -> None:
-        """Let the host know all that are there."""
+    def learn_all_hosts(self) -> None:
+        """Add all hosts of the fleet to the host's members."""
         hosts = self.fleet.hosts.values()
         entries = tuple(PeerEntry(h.members.own, 0.0, h.domain) for h in hosts)
         other = next(host for host in hosts if host is not self)
         hello = other.members.build_hello(self.world.now)
-        heard = HelloReceived(replace(hello, entries=entries))
-        self.members.handle(heard, self.world.now)
+        event = HelloReceived(replace(hello, entries=entries))
+        self.members.handle(event, self.world.now)
 
-    def wake_at(self, act: Callable[..., None], *details: Any) -> bool:
-        """Return whether to act now; else act when the host runs again, if ever."""
+    def run_or_defer(self, action: Callable[..., None], *details: Any) -> bool:
+        """Return whether the host runs; if it is paused, run action when it resumes."""
         if self.is_dead:
             return False
-        if self.world.now < self.frozen_until:
-            self.world.at(self.frozen_until, lambda: act(*details))
+        if self.world.now < self.paused_until:
+            self.world.schedule_at(self.paused_until, lambda: action(*details))
             return False
         return True
 
-    def tell(self, addresses: Iterable[Address], name: str, content: Any) -> None:
-        """Send hosts one section, beyond the rounds."""
+    def send_section(
+        self, addresses: Iterable[Address], name: str, content: Any
+    ) -> None:
+        """Send one section to hosts, outside the gossip rounds."""
         hello = self.members.build_hello(self.world.now, is_brief=True)
         self._send_to(addresses, hello, {name: content})
 
-    def _round(self) -> None:
-        if not self.wake_at(self._round):
+    def _run_gossip_round(self) -> None:
+        if not self.run_or_defer(self._run_gossip_round):
             return
-        event = RoundDue(self._sent, self._sent_brief)
-        self._carry_out(self.members.handle(event, self.world.now))
-        wait = HELLO_INTERVAL_SECONDS * self.random.uniform(*ROUND_JITTER)
-        self.world.after(wait, self._round)
+        event = RoundDue(self._hello_bytes, self._brief_hello_bytes)
+        self._apply_effects(self.members.handle(event, self.world.now))
+        delay = HELLO_INTERVAL_SECONDS * self.random.uniform(*GOSSIP_INTERVAL_JITTER)
+        self.world.schedule_after(delay, self._run_gossip_round)
 
-    def _carry_out(self, effects: Iterable[SeedEffect]) -> None:
+    def _apply_effects(self, effects: Iterable[SeedEffect]) -> None:
         for effect in effects:
             if isinstance(effect, SendHello) and effect.addresses:
-                self._greet(effect.addresses, effect.is_brief)
+                self._send_hello(effect.addresses, effect.is_brief)
 
-    def _greet(self, addresses: Collection[Address], is_brief: bool) -> None:
+    def _send_hello(self, addresses: Collection[Address], is_brief: bool) -> None:
         hello = self.members.build_hello(self.world.now, is_brief)
         sections = {
             name: content
@@ -132,9 +136,9 @@
         }
         size = self._send_to(addresses, hello, sections)
         if is_brief:
-            self._sent_brief = size
+            self._brief_hello_bytes = size
         else:
-            self._sent = size
+            self._hello_bytes = size
 
     def _send_to(
         self, addresses: Iterable[Address], hello: Hello, sections: dict[str, Any]
@@ -144,10 +148,10 @@
         fleet = self.fleet
         for address in addresses:
             fleet.sent_bytes += size
-            fleet.messages += 1
+            fleet.message_count += 1
             if self.world.random.random() >= fleet.links.loss:
-                self.world.after(
-                    self.world.draw_delay(),
+                self.world.schedule_after(
+                    self.world.sample_delay(),
                     lambda to=address: self._deliver(to, hello, packed),
                 )
         return size
@@ -156,22 +160,22 @@
         other = self.fleet.hosts.get(to)
         if other is None or self.fleet.links.is_cut(self.number, other.number):
             return
-        other.take_datagram(hello, sections)
+        other.receive_hello(hello, sections)
 
-    def take_datagram(self, hello: Hello, sections: dict[str, bytes]) -> None:
-        """Take a peer's hello and its sections, as the product's peers do."""
-        if not self.wake_at(self.take_datagram, hello, sections):
+    def receive_hello(self, hello: Hello, sections: dict[str, bytes]) -> None:
+        """Handle a peer's hello and its sections as the product does."""
+        if not self.run_or_defer(self.receive_hello, hello, sections):
             return
         now, address = self.world.now, hello.identity.address
-        known = self.members.get_peer(address)
-        last_timestamp = known.last_timestamp if known is not None else -1
-        self._carry_out(self.members.handle(HelloReceived(hello), now))
+        before = self.members.get_peer(address)
+        last_timestamp = before.last_timestamp if before is not None else -1
+        self._apply_effects(self.members.handle(HelloReceived(hello), now))
         peer = self.members.get_peer(address)
         if peer is None or peer.identity != hello.identity:
             return
-        if known is peer and hello.timestamp <= last_timestamp:
+        if before is peer and hello.timestamp <= last_timestamp:
             return
         age = self.members.compute_age(peer, hello.timestamp, now)
         for name, content in sections.items():
             if name in self.sections:
-                self.sections[name].take(msgpack.unpackb(content), age)
+                self.sections[name].apply(msgpack.unpackb(content), age)
--- a/libraries/bench/tarragonward_bench/harm/limits.py
+++ b/libraries/bench/tarragonward_bench/harm/limits.py
@@ -1,4 +1,4 @@
-"""Randomised runs of targets that name how many requests a second they take."""
+"""Randomised runs of targets that advertise request rate limits."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from tarragonward_standins.platform_checker import count_max_in_window
 
 from ..hearing.world import Links, World
-from .host import HarmFleet, HarmHost, Section
-from .troubles import HostTroubles
+from .host import GossipFleet, GossipHost, Section
+from .troubles import FaultInjector
 
 __all__ = ["LimitPlan", "LimitRun", "run_limit_seed"]
 
 SECTION = "limits"
-# The users' rule: what is counted begins so long after a limit was first named, and is
-# from hosts that had been told so long before.
-STABLE_SECONDS = 3.0
-TOLD_SECONDS = 0.5
+# The requirement of the users: sends count from SETTLED_SECONDS after a limit was first
+# advertised, and only from hosts that were notified NOTICE_SECONDS before.
+SETTLED_SECONDS = 3.0
+NOTICE_SECONDS = 0.5
 WINDOW_SECONDS = 4.0
-FACTOR = 1.5
-SLACK = 5
+MAX_EXCESS_FACTOR = 1.5
+MAX_EXCESS_REQUESTS = 5
 ANSWER_SECONDS = (0.005, 0.3)
-SETTLE_SECONDS = 4.0
+WARM_UP_SECONDS = 4.0
 RATES = (0.1, 0.5, 1.0, 1.0, 3.0, 20.0)
-NAME_SECONDS = (0.2, 3.0)
-LAST_SECONDS = (4.0, 20.0)
-LOSS = 0.02
-SIZES = (5, 9)
+UNLIMITED_SECONDS = (0.2, 3.0)
+LIMITED_SECONDS = (4.0, 20.0)
+DATAGRAM_LOSS_RATE = 0.02
+FLEET_SIZES = (5, 9)
 
 
 @dataclass(frozen=True)
 class LimitPlan:
-    """What one run plays; seconds are those of the fake clock.
+    """The settings of one run; seconds are simulated time.
 
-    share is the part of the targets that name a limit in the run, each for a while.
+    share is the share of the targets that advertise limits, each for a while.
     """
 
     hosts: int = 9
@@ -52,18 +52,18 @@
 class _Target:
     number: int
     rate: float | None = None
-    named_at: float = 0.0
-    # By host: when it was first told of the limit that is named now.
-    told_at: dict[HarmHost, float] = field(default_factory=dict)
-    counted: list[float] = field(default_factory=list)
+    limited_from: float = 0.0
+    # By host: when it was first notified of the current limit.
+    notified_at: dict[GossipHost, float] = field(default_factory=dict)
+    counted_sends: list[float] = field(default_factory=list)
 
 
-class _Host(HarmHost):
+class _Host(GossipHost):
     def __init__(self, run: LimitRun, number: int) -> None:
         super().__init__(run.fleet, number)
         self.limits = TargetLimits(self.random)
         self.gossip = LimitGossip(self.limits)
-        self.sections[SECTION] = Section(self._build, self._take)
+        self.sections[SECTION] = Section(self._build, self._apply)
         self._view: HostView | None = None
         self._view_at = float("-inf")
 
@@ -74,143 +74,155 @@
             self._view is None
             or now - self._view_at >= gateway_const.HOST_VIEW_REFRESH_SECONDS
         ):
-            known = self.members.get_known_addresses(now)
-            most = max(len(known), self.members.get_max_known_host_count(now))
-            self._view = HostView(str(self.address), frozenset(map(str, known)), most)
+            known_addresses = self.members.get_known_addresses(now)
+            max_hosts = max(
+                len(known_addresses), self.members.get_max_known_host_count(now)
+            )
+            self._view = HostView(
+                str(self.address), frozenset(map(str, known_addresses)), max_hosts
+            )
             self._view_at = now
         return self._view
 
-    def note_answer(self, target: _Target, rate: float | None) -> None:
-        if not self.wake_at(self.note_answer, target, rate):
+    def handle_answer(self, target: _Target, rate: float | None) -> None:
+        if not self.run_or_defer(self.handle_answer, target, rate):
             return
         if self.limits.record_advertised(target.number, rate, self.world.now):
             self.gossip.record_change(target.number)
-            self.world.after(gateway_const.LIMIT_BATCH_SECONDS, self._tell)
+            self.world.schedule_after(
+                gateway_const.LIMIT_BATCH_SECONDS, self._send_pending
+            )
         if rate is not None:
-            target.told_at.setdefault(self, self.world.now)
+            target.notified_at.setdefault(self, self.world.now)
 
     def _build(self) -> list[object] | None:
-        numbers = self.gossip.choose_next()
-        return self.gossip.build(numbers, self.world.now) or None
+        targets = self.gossip.choose_next()
+        return self.gossip.build(targets, self.world.now) or None
 
-    def _take(self, data: list[object], age: float) -> None:
+    def _apply(self, data: list[object], age: float) -> None:
         self.gossip.merge(data, age, self.world.now)
 
-    def _tell(self) -> None:
-        if not self.wake_at(self._tell):
+    def _send_pending(self) -> None:
+        if not self.run_or_defer(self._send_pending):
             return
-        for numbers in self.gossip.take_pending():
-            content = self.gossip.build(numbers, self.world.now)
-            self.tell(self.members.get_addresses(), SECTION, content)
+        for targets in self.gossip.take_pending():
+            content = self.gossip.build(targets, self.world.now)
+            self.send_section(self.members.get_addresses(), SECTION, content)
 
 
 class LimitRun:
-    """One run: callers, hosts, and targets that name limits and count what comes."""
+    """One run: callers, hosts, and targets that advertise limits and count requests."""
 
     def __init__(self, plan: LimitPlan, seed: int) -> None:
         self.plan = plan
         self.world = World(seed)
         self.random = self.world.random
-        self.fleet = HarmFleet(self.world, Links(LOSS), plan.domains)
+        self.fleet = GossipFleet(self.world, Links(DATAGRAM_LOSS_RATE), plan.domains)
         self.targets = [_Target(number) for number in range(plan.targets)]
-        self.asked = self.refused = self.limited_sends = 0
+        self.request_count = self.refused_count = self.limited_sends = 0
         self.allowed = 0.0
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         for number in range(plan.hosts):
-            self.make_host(number)
+            self.start_host(number)
         for host in self.fleet.hosts.values():
-            host.settle()
+            host.learn_all_hosts()
 
     def run(self) -> LimitRun:
-        """Play the run; raise AssertionError where the rule is broken."""
-        begin = self.world.now + SETTLE_SECONDS
+        """Run the simulation; raise AssertionError if the requirement is violated."""
+        begin = self.world.now + WARM_UP_SECONDS
         self._until = begin + self.plan.seconds
         if self.plan.has_troubles:
-            HostTroubles(self.fleet, self.make_host, self._until).begin()
+            FaultInjector(self.fleet, self.start_host, self._until).begin()
         count = max(1, int(self.plan.share * len(self.targets)))
         for target in self.random.sample(self.targets, count):
-            at = begin + self.random.uniform(*NAME_SECONDS)
-            self.world.at(at, lambda each=target: self._name(each))
-        self.world.at(begin, self._ask_one)
+            at = begin + self.random.uniform(*UNLIMITED_SECONDS)
+            self.world.schedule_at(at, lambda each=target: self._begin_limit(each))
+        self.world.schedule_at(begin, self._send_next_request)
         self.world.run(self._until)
         for target in self.targets:
-            self._judge(target)
-        assert not self.broken, "; ".join(self.broken)
+            self._check(target)
+        assert not self.violations, "; ".join(self.violations)
         return self
 
     def describe(self) -> str:
         """Return the run's figures."""
         return (
-            f"limits asked={self.asked} refused={self.refused} "
+            f"limits asked={self.request_count} refused={self.refused} "
             f"limited_sends={self.limited_sends} allowed={self.allowed:.0f}"
         )
 
-    def make_host(self, number: int) -> HarmHost:
-        """Start a host, or another life of it."""
+    def start_host(self, number: int) -> GossipHost:
+        """Start a host, or a new incarnation of it."""
         host = _Host(self, number)
         self.fleet.hosts[host.address] = host
         return host
 
-    def _name(self, target: _Target) -> None:
+    def _begin_limit(self, target: _Target) -> None:
         target.rate = self.random.choice(RATES)
-        target.named_at = self.world.now
-        lasts = self.random.uniform(*LAST_SECONDS)
-        self.world.after(lasts, lambda: self._end(target))
+        target.limited_from = self.world.now
+        duration = self.random.uniform(*LIMITED_SECONDS)
+        self.world.schedule_after(duration, lambda: self._end_limit(target))
 
-    def _end(self, target: _Target) -> None:
-        self._judge(target)
+    def _end_limit(self, target: _Target) -> None:
+        self._check(target)
         target.rate = None
-        target.told_at.clear()
-        target.counted.clear()
-        wait = self.random.uniform(*NAME_SECONDS)
-        self.world.after(wait, lambda: self._name(target))
+        target.notified_at.clear()
+        target.counted_sends.clear()
+        delay = self.random.uniform(*UNLIMITED_SECONDS)
+        self.world.schedule_after(delay, lambda: self._begin_limit(target))
 
-    def _judge(self, target: _Target) -> None:
+    def _check(self, target: _Target) -> None:
         if target.rate is None:
             return
-        allowed = FACTOR * target.rate * WINDOW_SECONDS + SLACK
-        most = count_max_in_window(sorted(target.counted), WINDOW_SECONDS)
-        if most > allowed:
-            self.broken.append(f"{most} of {allowed:g}, {target.rate:g} a second")
-        self.allowed += target.rate * (self.world.now - target.named_at)
-
-    def _ask_one(self) -> None:
+        allowed = MAX_EXCESS_FACTOR * target.rate * WINDOW_SECONDS + MAX_EXCESS_REQUESTS
+        max_sends = count_max_in_window(sorted(target.counted_sends), WINDOW_SECONDS)
+        if max_sends > allowed:
+            self.violations.append(
+                f"{max_sends} sends, {allowed:g} allowed at {target.rate:g} a second"
+            )
+        self.allowed += target.rate * (self.world.now - target.limited_from)
+
+    def _send_next_request(self) -> None:
         if self.world.now >= self._until:
             return
-        self._ask(self.random.choice(list(self.fleet.hosts.values())))
-        wait = self.random.expovariate(self.plan.requests_a_second)
-        self.world.after(wait, self._ask_one)
+        self._send_request(self.random.choice(list(self.fleet.hosts.values())))
+        delay = self.random.expovariate(self.plan.requests_a_second)
+        self.world.schedule_after(delay, self._send_next_request)
 
-    def _ask(self, host: _Host) -> None:
-        if not host.wake_at(self._ask, host):
+    def _send_request(self, host: _Host) -> None:
+        if not host.run_or_defer(self._send_request, host):
             return
-        self.asked += 1
+        self.request_count += 1
         now = self.world.now
-        ready = [
+        candidates = [
             t for t in self.targets if host.limits.may_send(t.number, host.view, now)
         ]
-        if not ready:
-            self.refused += 1
+        if not candidates:
+            self.refused_count += 1
             return
-        target = self.random.choice(ready)
+        target = self.random.choice(candidates)
         host.limits.record_send(target.number)
-        self.world.after(self.world.draw_delay(), lambda: self._arrive(target, host))
+        self.world.schedule_after(
+            self.world.sample_delay(), lambda: self._arrive(target, host)
+        )
 
     def _arrive(self, target: _Target, host: _Host) -> None:
         now, rate = self.world.now, target.rate
         if rate is not None:
             self.limited_sends += 1
-            is_told = target.told_at.get(host, float("inf")) + TOLD_SECONDS <= now
-            is_counted = now >= target.named_at + STABLE_SECONDS
-            if is_told and is_counted and host.is_in_touch(STABLE_SECONDS):
-                target.counted.append(now)
-        wait = self.random.uniform(*ANSWER_SECONDS)
-        self.world.after(wait, lambda: host.note_answer(target, rate))
-
-
-def draw_plan(seed: int) -> LimitPlan:
-    """Return the small plan of a seed; in each third all targets name limits."""
-    hosts = SIZES[seed % len(SIZES)]
+            is_notified = (
+                target.notified_at.get(host, float("inf")) + NOTICE_SECONDS <= now
+            )
+            is_counted = now >= target.limited_from + SETTLED_SECONDS
+            if is_notified and is_counted and host.has_been_connected(SETTLED_SECONDS):
+                target.counted_sends.append(now)
+        delay = self.random.uniform(*ANSWER_SECONDS)
+        self.world.schedule_after(delay, lambda: host.handle_answer(target, rate))
+
+
+def choose_plan(seed: int) -> LimitPlan:
+    """Return a seed's plan: a small fleet; in every third all targets have limits."""
+    hosts = FLEET_SIZES[seed % len(FLEET_SIZES)]
     return LimitPlan(
         hosts=hosts,
         targets=2 * hosts,
@@ -221,5 +233,5 @@
 
 
 def run_limit_seed(seed: int) -> int:
-    """Run one seed; raise AssertionError where the rule is broken."""
-    return LimitRun(draw_plan(seed), seed).run().world.events
+    """Run one seed; raise AssertionError if the requirement is violated."""
+    return LimitRun(choose_plan(seed), seed).run().world.events
--- a/libraries/bench/tarragonward_bench/harm/runs.py
+++ b/libraries/bench/tarragonward_bench/harm/runs.py
@@ -1,4 +1,4 @@
-"""Play runs of harm of any size: `script/measure harm.runs --hosts 195 --seeds 3`."""
+"""Run crash and limit simulations: `script/measure harm.runs --hosts 195 --seeds 3`."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 __all__ = ["main"]
 
-MANY_HOSTS = 100
-REQUESTS_A_HOST = 6.0
-TARGETS_A_HOST = 2
+LARGE_FLEET_HOSTS = 100
+REQUESTS_PER_HOST_SECOND = 6.0
+TARGETS_PER_HOST = 2
 
 
 def main() -> int:
-    """Play the seeds named; return 1 where a rule was broken."""
+    """Run the given seeds; return 1 if a requirement was violated."""
     parser = argparse.ArgumentParser(
         prog="script/measure harm.runs", description=__doc__
     )
@@ -25,40 +25,42 @@
     parser.add_argument("--first", type=int, default=1, help="the first seed")
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--culprits", type=int, default=2)
-    parser.add_argument("--share", type=float, default=0.3, help="of limited targets")
-    parser.add_argument("--calm", action="store_true", help="no trouble of hosts")
+    parser.add_argument(
+        "--share", type=float, default=0.3, help="share of targets with limits"
+    )
+    parser.add_argument("--calm", action="store_true", help="no faults of hosts")
     options = parser.parse_args()
     sys.stdout.reconfigure(line_buffering=True)
     seeds = range(options.first, options.first + options.seeds)
-    broken = sum(_play(seed, options) for seed in seeds)
-    print(f"seeds={options.seeds} broken={broken}")
-    return 1 if broken else 0
+    violated = sum(_run_seed(seed, options) for seed in seeds)
+    print(f"seeds={options.seeds} broken={violated}")
+    return 1 if violated else 0
 
 
-def _play(seed: int, options: argparse.Namespace) -> int:
+def _run_seed(seed: int, options: argparse.Namespace) -> int:
     hosts = options.hosts
-    size = {
+    settings = {
         "hosts": hosts,
-        "domains": 5 if hosts >= MANY_HOSTS else 3,
-        "targets": TARGETS_A_HOST * hosts,
-        "requests_a_second": REQUESTS_A_HOST * hosts,
+        "domains": 5 if hosts >= LARGE_FLEET_HOSTS else 3,
+        "targets": TARGETS_PER_HOST * hosts,
+        "requests_a_second": REQUESTS_PER_HOST_SECOND * hosts,
         "has_troubles": not options.calm,
     }
-    crash = CrashRun(CrashPlan(culprits=options.culprits, **size), seed)
-    limit = LimitRun(LimitPlan(share=options.share, **size), seed)
-    broken = 0
+    crash = CrashRun(CrashPlan(crashing_requests=options.culprits, **settings), seed)
+    limit = LimitRun(LimitPlan(share=options.share, **settings), seed)
+    violated = 0
     for run in (crash, limit):
         began = time.monotonic()
         try:
             run.run()
             verdict = "held"
         except AssertionError as err:
-            verdict, broken = f"broken ({err})", broken + 1
+            verdict, violated = f"broken ({err})", violated + 1
         seconds = time.monotonic() - began
         rate = run.fleet.sent_bytes / hosts / run.plan.seconds
         print(f"seed={seed} {run.describe()} bytes_a_host_second={rate:.0f} {verdict}")
         print(f"    took {seconds:.1f} s")
-    return broken
+    return violated
 
 
 if __name__ == "__main__":
--- a/libraries/bench/tarragonward_bench/hearing/__init__.py
+++ b/libraries/bench/tarragonward_bench/hearing/__init__.py
@@ -1,1 +1,1 @@
-"""Run the hearing of publications at random, hosts and source in simulated time."""
+"""Randomised runs of the propagation of publications, in simulated time."""
--- a/libraries/bench/tarragonward_bench/hearing/transfers.py
+++ b/libraries/bench/tarragonward_bench/hearing/transfers.py
@@ -1,4 +1,4 @@
-"""Play bytes on their way over links that several transfers share."""
+"""Simulate transfers that share the capacity of the hosts' links."""
 
 from __future__ import annotations
 
@@ -11,107 +11,116 @@
 
 from .world import TABLE_KEY, World
 
-__all__ = ["TARGET_BYTES", "RecordSizes", "Transfer", "Transfers"]
+__all__ = ["TARGET_RECORD_BYTES", "RecordSizes", "Transfer", "Transfers"]
 
-# What an entry of a target takes on its way, reckoned from the published examples.
-TARGET_BYTES = 400
-LEAST_BYTES = 0.5
+# The size of a target's record on the wire, estimated from the published examples.
+TARGET_RECORD_BYTES = 400
+MIN_REMAINING_BYTES = 0.5
 
 
 @dataclass(frozen=True)
 class RecordSizes:
-    """Bytes of a table as the source sends it, and as hosts give it to each other."""
+    """Bytes of a table as sent by the source, and as sent between hosts."""
 
-    read_table: int = TARGET_BYTES
-    given_table: int = TARGET_BYTES
+    source_table_bytes: int = TARGET_RECORD_BYTES
+    peer_table_bytes: int = TARGET_RECORD_BYTES
 
-    def compute_read(self, records: tuple[Record, ...]) -> int:
-        """Return what an answer of the source takes."""
-        return sum(self._pick(r, self.read_table) for r in records)
+    def compute_source_bytes(self, records: tuple[Record, ...]) -> int:
+        """Return the size of an answer of the source."""
+        return sum(self._get_size(r, self.source_table_bytes) for r in records)
 
-    def compute_given(self, records: tuple[Record, ...]) -> int:
-        """Return what a peer's answer takes."""
-        return sum(self._pick(r, self.given_table) for r in records)
+    def compute_peer_bytes(self, records: tuple[Record, ...]) -> int:
+        """Return the size of an answer of a peer."""
+        return sum(self._get_size(r, self.peer_table_bytes) for r in records)
 
-    def _pick(self, record: Record, table: int) -> int:
-        return table if record.key == TABLE_KEY else TARGET_BYTES
+    def _get_size(self, record: Record, table: int) -> int:
+        return table if record.key == TABLE_KEY else TARGET_RECORD_BYTES
 
 
 @dataclass(eq=False)
 class Transfer:
-    """Bytes on their way to a host; from the source where there is no sender."""
+    """A transfer in progress to a host; without a sender it is from the source."""
 
     sender: int | None
     receiver: int
-    left: float
-    end: Callable[[], None]
+    remaining_bytes: float
+    on_end: Callable[[], None]
 
 
 class Transfers:
-    """All transfers of a run; each host's link carries so many bytes a second each way.
+    """All transfers of a run; each host's link has the same capacity in each direction.
 
-    A link is shared evenly, as by connections of equal age; the source's own has no
-    bound here.
+    Transfers share a link evenly, as connections of equal age do. The link of the
+    source is unlimited.
     """
 
-    def __init__(self, world: World, bytes_a_second: float) -> None:
+    def __init__(self, world: World, bytes_per_second: float) -> None:
         self._world = world
-        self._rate = bytes_a_second
-        self._open: set[Transfer] = set()
-        self._counted_at = world.now
-        self._step = 0
+        self._bytes_per_second = bytes_per_second
+        self._active: set[Transfer] = set()
+        self._advanced_at = world.now
+        self._schedule_number = 0
 
     def start(
-        self, sender: int | None, receiver: int, size: int, end: Callable[[], None]
+        self, sender: int | None, receiver: int, size: int, on_end: Callable[[], None]
     ) -> Transfer:
-        """Send size bytes; end runs once the last of them has come."""
+        """Send size bytes; on_end runs when all of them have arrived."""
         self._advance()
-        transfer = Transfer(sender, receiver, float(size), end)
-        self._open.add(transfer)
-        self._plan()
+        transfer = Transfer(sender, receiver, float(size), on_end)
+        self._active.add(transfer)
+        self._schedule_next_end()
         return transfer
 
     def cancel(self, transfer: Transfer) -> bool:
-        """Stop a transfer that its receiver gives up; return whether it still ran."""
-        if transfer not in self._open:
+        """Cancel a transfer; return whether it was still in progress."""
+        if transfer not in self._active:
             return False
         self._advance()
-        self._open.remove(transfer)
-        self._plan()
+        self._active.remove(transfer)
+        self._schedule_next_end()
         return True
 
     def _advance(self) -> None:
-        seconds = self._world.now - self._counted_at
-        self._counted_at = self._world.now
+        seconds = self._world.now - self._advanced_at
+        self._advanced_at = self._world.now
         if seconds <= 0.0:
             return
         for transfer, rate in self._compute_rates().items():
-            transfer.left -= rate * seconds
+            transfer.remaining_bytes -= rate * seconds
 
     def _compute_rates(self) -> dict[Transfer, float]:
-        sent = Counter(transfer.sender for transfer in self._open)
-        taken = Counter(transfer.receiver for transfer in self._open)
+        sent = Counter(transfer.sender for transfer in self._active)
+        received = Counter(transfer.receiver for transfer in self._active)
         sent[None] = 1
         return {
-            transfer: self._rate / max(sent[transfer.sender], taken[transfer.receiver])
-            for transfer in self._open
+            transfer: self._bytes_per_second
+            / max(sent[transfer.sender], received[transfer.receiver])
+            for transfer in self._active
         }
 
-    def _plan(self) -> None:
-        """Wait for the transfer that ends first."""
-        self._step += 1
-        step = self._step
+    def _schedule_next_end(self) -> None:
+        """Schedule the end of the transfer that will complete first."""
+        self._schedule_number += 1
+        number = self._schedule_number
         rates = self._compute_rates()
-        first = min((t.left / rate for t, rate in rates.items()), default=math.inf)
-        if math.isfinite(first):
-            self._world.after(max(0.0, first), lambda: self._end_due(step))
-
-    def _end_due(self, step: int) -> None:
-        if step != self._step:
+        delay = min(
+            (t.remaining_bytes / rate for t, rate in rates.items()), default=math.inf
+        )
+        if math.isfinite(delay):
+            self._world.schedule_after(
+                max(0.0, delay), lambda: self._end_completed(number)
+            )
+
+    def _end_completed(self, number: int) -> None:
+        if number != self._schedule_number:
             return
         self._advance()
-        due = [transfer for transfer in self._open if transfer.left <= LEAST_BYTES]
-        self._open.difference_update(due)
-        self._plan()
-        for transfer in sorted(due, key=lambda t: t.receiver):
-            transfer.end()
+        completed = [
+            transfer
+            for transfer in self._active
+            if transfer.remaining_bytes <= MIN_REMAINING_BYTES
+        ]
+        self._active.difference_update(completed)
+        self._schedule_next_end()
+        for transfer in sorted(completed, key=lambda t: t.receiver):
+            transfer.on_end()
--- a/libraries/bench/tarragonward_bench/hearing/world.py
+++ b/libraries/bench/tarragonward_bench/hearing/world.py
@@ -1,4 +1,4 @@
-"""A fake clock, network and source of publications for the runs of hearing."""
+"""A simulated clock, network and source of publications for randomised runs."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 from tarragonward_gateway.ports import Page, Record, Records
 
-__all__ = ["Answer", "FakeSource", "Links", "Lost", "World"]
+__all__ = ["Answer", "FakeSource", "Links", "NoResponse", "World"]
 
 ANSWER_SECONDS = 0.004
-REFUSED_SECONDS = 0.003
+REFUSAL_SECONDS = 0.003
 MIN_DELAY_SECONDS = 0.001
 MAX_DELAY_SECONDS = 0.005
 TABLE_KEY = "table"
-PAGE_ITEMS = 50
-LIMIT_SECONDS = 0.1
+MAX_PAGE_RECORDS = 50
+RATE_WINDOW_SECONDS = 0.1
 
 
 @dataclass(frozen=True)
-class Lost:
-    """The source gave no answer; is_history where it dropped what was asked for."""
+class NoResponse:
+    """The source gave no records; is_history_lost if it has compacted that revision."""
 
-    is_history: bool = False
+    is_history_lost: bool = False
 
 
-Answer = Records | Page | Lost
+Answer = Records | Page | NoResponse
 Reply = Callable[[Answer], None]
 
 
 class World:
-    """The clock, and what is to happen when."""
+    """The simulated clock and its queue of scheduled actions."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -42,51 +42,55 @@
         self._order = itertools.count()
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        """Act at a time, not before now."""
-        heapq.heappush(self._queue, (max(when, self.now), next(self._order), act))
+    def schedule_at(self, time: float, action: Callable[[], None]) -> None:
+        """Run an action at a time, or now if that has passed."""
+        heapq.heappush(self._queue, (max(time, self.now), next(self._order), action))
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Act so many seconds from now."""
-        self.at(self.now + seconds, act)
+    def schedule_after(self, seconds: float, action: Callable[[], None]) -> None:
+        """Run an action after a delay."""
+        self.schedule_at(self.now + seconds, action)
 
     def run(self, until: float) -> None:
-        """Let all happen that is due by a time."""
+        """Run all actions that are due up to a time."""
         while self._queue and self._queue[0][0] <= until:
-            self.now, _, act = heapq.heappop(self._queue)
+            self.now, _, action = heapq.heappop(self._queue)
             self.events += 1
-            act()
+            action()
         self.now = until
 
-    def draw_delay(self) -> float:
-        """Return how long something travels."""
+    def sample_delay(self) -> float:
+        """Return a random network delay in seconds."""
         return self.random.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS)
 
 
 @dataclass
 class Links:
-    """Which hosts hear each other: a side that is cut hears only itself.
+    """Network partitions: the hosts of a partition reach only each other.
 
-    has_source is set where the side still reaches the source.
+    partition_reaches_source is set if the partition still reaches the source.
     """
 
     loss: float = 0.0
-    side: frozenset[int] = frozenset()
-    has_source: bool = False
-    alone: set[int] = field(default_factory=set)
+    partition: frozenset[int] = frozenset()
+    partition_reaches_source: bool = False
+    isolated_hosts: set[int] = field(default_factory=set)
 
     def is_cut(self, one: int, other: int) -> bool:
         """Return whether two hosts can't reach each other."""
-        is_apart = (one in self.side) != (other in self.side)
-        return is_apart or one in self.alone or other in self.alone
+        is_partitioned = (one in self.partition) != (other in self.partition)
+        return (
+            is_partitioned or one in self.isolated_hosts or other in self.isolated_hosts
+        )
 
-    def is_out(self, host: int) -> bool:
+    def is_cut_off_from_source(self, host: int) -> bool:
         """Return whether a host can't reach the source."""
-        return host in self.alone or (host in self.side and not self.has_source)
+        return host in self.isolated_hosts or (
+            host in self.partition and not self.partition_reaches_source
+        )
 
 
 @dataclass
-class _Waiting:
+class _OpenWatch:
     host: int
     after: int
     reply: Reply
@@ -94,26 +98,28 @@
 
 
 class FakeSource:
-    """Publish records; answer readings by pages and watches, or fail some hosts.
+    """Publishes records; serves paged reads and watches, or fails those of some hosts.
 
-    calls counts what is priced: each reading's page, and each watch. Calls beyond
-    reads_a_second, of all hosts together, are refused.
+    calls counts the calls that are priced: each page of a read, and each watch. Calls
+    of all hosts together beyond max_reads_per_second are refused.
     """
 
-    def __init__(self, world: World, reads_a_second: float = float("inf")) -> None:
+    def __init__(
+        self, world: World, max_reads_per_second: float = float("inf")
+    ) -> None:
         self._world = world
-        self._allowed = reads_a_second * LIMIT_SECONDS
-        self._counted_from = world.now
-        self._counted = 0
+        self._max_reads_per_window = max_reads_per_second * RATE_WINDOW_SECONDS
+        self._window_began_at = world.now
+        self._window_reads = 0
         self._records: dict[str, Record] = {}
-        self._kept_after = 0
+        self._compacted_revision = 0
         self._log: list[tuple[float, Record]] = []
-        self._waiting: list[_Waiting] = []
+        self._open_watches: list[_OpenWatch] = []
         self.revision = 1
         self.calls = 0
         self.is_down = False
-        self.refused: set[int] = set()
-        self.muted: set[int] = set()
+        self.refused_hosts: set[int] = set()
+        self.silent_hosts: set[int] = set()
 
     @property
     def log(self) -> list[tuple[float, Record]]:
@@ -121,7 +127,7 @@
         return self._log
 
     def put(self, key: str, value: bytes | None) -> None:
-        """Publish a value, or withdraw it, and wake the watches."""
+        """Publish or delete a value, and answer the open watches."""
         self.revision += 1
         record = Record(key, self.revision, value)
         if value is None:
@@ -129,64 +135,72 @@
         else:
             self._records[key] = record
         self._log.append((self._world.now, record))
-        waiting, self._waiting = self._waiting, []
-        for one in waiting:
-            self._world.after(ANSWER_SECONDS, lambda one=one: self._wake(one))
+        watches, self._open_watches = self._open_watches, []
+        for watch in watches:
+            self._world.schedule_after(
+                ANSWER_SECONDS, lambda watch=watch: self._answer_watch(watch)
+            )
 
-    def drop_history(self) -> None:
-        """Forget what changed; watches in progress go on."""
-        self._kept_after = self.revision
+    def compact_history(self) -> None:
+        """Drop the history of changes; open watches continue."""
+        self._compacted_revision = self.revision
 
     def drop_watches(self, host: int) -> None:
-        """Let the watches of a host go silent for good."""
-        self._waiting = [one for one in self._waiting if one.host != host]
+        """Never answer the open watches of a host."""
+        self._open_watches = [
+            watch for watch in self._open_watches if watch.host != host
+        ]
 
     def read_page(self, host: int, after: str, reply: Reply) -> None:
-        """Answer with the items that follow a key."""
+        """Answer with the page of records that follow a key."""
         if not self._is_served(host, reply):
             return
         keys = sorted(key for key in self._records if key > after)
-        page, is_last = keys[:PAGE_ITEMS], len(keys) <= PAGE_ITEMS
+        page, is_last = keys[:MAX_PAGE_RECORDS], len(keys) <= MAX_PAGE_RECORDS
         records = tuple(self._records[key] for key in page)
-        read = Page(records, self.revision, None if is_last else page[-1])
-        self._world.after(ANSWER_SECONDS, lambda: reply(read))
+        result = Page(records, self.revision, None if is_last else page[-1])
+        self._world.schedule_after(ANSWER_SECONDS, lambda: reply(result))
 
     def watch(self, host: int, after: int, seconds: float, reply: Reply) -> None:
-        """Answer with what changed after a revision, or nothing after a time."""
+        """Answer with the changes after a revision, or with none after a timeout."""
         if not self._is_served(host, reply):
             return
-        if after < self._kept_after:
-            self._world.after(ANSWER_SECONDS, lambda: reply(Lost(is_history=True)))
+        if after < self._compacted_revision:
+            self._world.schedule_after(
+                ANSWER_SECONDS, lambda: reply(NoResponse(is_history_lost=True))
+            )
             return
-        waiting = _Waiting(host, after, reply)
+        watch = _OpenWatch(host, after, reply)
         if after < self.revision:
-            self._world.after(ANSWER_SECONDS, lambda: self._wake(waiting))
+            self._world.schedule_after(
+                ANSWER_SECONDS, lambda: self._answer_watch(watch)
+            )
             return
-        self._waiting.append(waiting)
-        self._world.after(seconds, lambda: self._end(waiting))
+        self._open_watches.append(watch)
+        self._world.schedule_after(seconds, lambda: self._end_watch(watch))
 
     def _is_served(self, host: int, reply: Reply) -> bool:
         self.calls += 1
-        if host in self.muted:
+        if host in self.silent_hosts:
             return False
-        if self.is_down or host in self.refused or self._is_over_limit():
-            self._world.after(REFUSED_SECONDS, lambda: reply(Lost()))
+        if self.is_down or host in self.refused_hosts or self._is_over_limit():
+            self._world.schedule_after(REFUSAL_SECONDS, lambda: reply(NoResponse()))
             return False
         return True
 
     def _is_over_limit(self) -> bool:
-        if self._world.now - self._counted_from >= LIMIT_SECONDS:
-            self._counted_from, self._counted = self._world.now, 0
-        self._counted += 1
-        return self._counted > self._allowed
-
-    def _wake(self, waiting: _Waiting) -> None:
-        if waiting.is_open and waiting.host not in self.muted:
-            waiting.is_open = False
-            changed = {r.key: r for _, r in self._log if r.revision > waiting.after}
-            waiting.reply(Records(tuple(changed.values()), self.revision))
-
-    def _end(self, waiting: _Waiting) -> None:
-        if waiting in self._waiting:
-            self._waiting.remove(waiting)
-            self._wake(waiting)
+        if self._world.now - self._window_began_at >= RATE_WINDOW_SECONDS:
+            self._window_began_at, self._window_reads = self._world.now, 0
+        self._window_reads += 1
+        return self._window_reads > self._max_reads_per_window
+
+    def _answer_watch(self, watch: _OpenWatch) -> None:
+        if watch.is_open and watch.host not in self.silent_hosts:
+            watch.is_open = False
+            changed = {r.key: r for _, r in self._log if r.revision > watch.after}
+            watch.reply(Records(tuple(changed.values()), self.revision))
+
+    def _end_watch(self, watch: _OpenWatch) -> None:
+        if watch in self._open_watches:
+            self._open_watches.remove(watch)
+            self._answer_watch(watch)
--- a/libraries/bench/tarragonward_bench/soak.py
+++ b/libraries/bench/tarragonward_bench/soak.py
@@ -15,7 +15,7 @@
 
 from .budget_runs import run_budget_seed
 from .harm import run_crash_seed, run_limit_seed
-from .hearing.runs import run_hearing_seed
+from .hearing.runs import run_propagation_seed
 from .membership_runs import run_membership_seed
 from .model_runs import run_model_requests
 from .reach_runs import run_reach_seed
@@ -35,7 +35,7 @@
     "calls": run_calls_seed,
     "crashes": run_crash_seed,
     "configuration": run_configuration_seed,
-    "hearing": run_hearing_seed,
+    "hearing": run_propagation_seed,
     "limits": run_limit_seed,
     "membership": run_membership_seed,
     "models": run_model_requests,
--- a/libraries/bench/tests/test_harm.py
+++ b/libraries/bench/tests/test_harm.py
@@ -1,4 +1,4 @@
-"""Tests of the randomised runs of harm to targets."""
+"""Tests of the randomised runs of crashing requests and rate limits."""
 
 import pytest
 
@@ -10,19 +10,19 @@
     run_crash_seed,
     run_limit_seed,
 )
-from tarragonward_bench.harm.spread import measure_spread
+from tarragonward_bench.harm.spread import measure_crash_propagation
 from tarragonward_gateway.suspect_gossip import SuspectGossip
 from tarragonward_placement import target_limits
 from tarragonward_requests import const
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_requests_that_crash_targets_are_soon_sent_to_none(seed):
+def test_crashing_requests_are_soon_refused(seed):
     assert run_crash_seed(seed)
 
 
-def test_hosts_that_tell_each_other_nothing_are_found_out(monkeypatch):
-    """Each host would let three targets end: the runs must see it."""
+def test_runs_detect_hosts_that_share_no_crashes(monkeypatch):
+    """Without gossip each host would let a request crash three targets."""
     monkeypatch.setattr(SuspectGossip, "take_due", lambda self, now: [])
     monkeypatch.setattr(SuspectGossip, "choose_next", lambda self: [])
     with pytest.raises(AssertionError, match="sends late"):
@@ -30,20 +30,20 @@
             CrashRun(CrashPlan(hosts=40, targets=80), seed).run()
 
 
-def test_innocents_that_pay_for_one_crash_are_found_out(monkeypatch):
-    """All that is beside a crash would be refused: the runs must see it."""
+def test_runs_detect_refusal_of_harmless_requests(monkeypatch):
+    """With a threshold of one crash all requests in progress beside it are refused."""
     monkeypatch.setattr(const, "REFUSE_AFTER_CRASHES", 1)
-    with pytest.raises(AssertionError, match="without a culprit"):
-        CrashRun(CrashPlan(culprits=0, has_troubles=False), 1).run()
+    with pytest.raises(AssertionError, match="without a crashing request"):
+        CrashRun(CrashPlan(crashing_requests=0, has_troubles=False), 1).run()
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_targets_that_name_limits_get_no_more(seed):
+def test_advertised_limits_are_kept(seed):
     assert run_limit_seed(seed)
 
 
-def test_hosts_that_each_take_the_whole_limit_are_found_out(monkeypatch):
-    """Each host keeps to the limit by itself, and all together exceed it."""
+def test_runs_detect_hosts_that_each_use_the_full_limit(monkeypatch):
+    """Each host alone stays below the limit, but all hosts together exceed it."""
     monkeypatch.setattr(
         target_limits, "compute_host_share", lambda number, rate, view: 0.9 * rate
     )
@@ -51,11 +51,11 @@
         LimitRun(LimitPlan(hosts=40, requests_a_second=400.0), 1).run()
 
 
-def test_all_hosts_know_of_a_third_crash_within_the_bound():
-    """Three hosts of forty see one crash each; all must refuse within three seconds."""
-    assert measure_spread(40, 1).all_seconds < 3.0
+def test_all_hosts_learn_of_a_third_crash_within_the_bound():
+    """Three of forty hosts see one crash each; all must refuse within three seconds."""
+    assert measure_crash_propagation(40, 1).all_seconds < 3.0
 
 
-def test_hosts_that_lost_all_and_hear_few_learn_of_a_culprit_anew():
-    """All hosts lose power, most are then cut off alone: each lets two targets end."""
+def test_hosts_without_state_learn_of_a_crashing_request_again():
+    """All hosts lose their state, then most are isolated: each crashes two targets."""
     CrashRun(CrashPlan(40, 3, 80, 2, 240.0), 300).run()
--- a/libraries/bench/tests/test_hearing_runs.py
+++ b/libraries/bench/tests/test_hearing_runs.py
@@ -1,138 +1,141 @@
-"""The hearing of a whole fleet holds its bounds, and the runs see what breaks it."""
+"""Propagation to a fleet keeps its bounds, and the runs detect violations."""
 
 from dataclasses import replace
 
 import pytest
 
 from tarragonward_bench.hearing.runs import (
-    GROWN_HELD_SECONDS,
-    GROWN_TABLE,
-    THIN_LINK_BYTES_A_SECOND,
-    HearingPlan,
-    run_hearing,
+    LARGE_TABLE,
+    LARGE_TABLE_MAX_DELAY_SECONDS,
+    SLOW_LINK_BYTES_PER_SECOND,
+    PropagationPlan,
+    run_propagation,
 )
 from tarragonward_gateway import const as gateway_const
 from tarragonward_wire import const as wire_const
 
-SMALL = HearingPlan(9, 12.0)
-GROWN = HearingPlan(75, 3.0)
-LARGE = HearingPlan(320, 1.0, start_seconds=2.5, is_settled=True)
-THIN = HearingPlan(
+SMALL = PropagationPlan(9, 12.0)
+MEDIUM = PropagationPlan(75, 3.0)
+LARGE = PropagationPlan(320, 1.0, start_seconds=2.5, is_settled=True)
+SLOW_LINKS = PropagationPlan(
     75,
     6.0,
-    link_bytes_a_second=THIN_LINK_BYTES_A_SECOND,
-    sizes=GROWN_TABLE,
-    held_seconds=GROWN_HELD_SECONDS,
+    link_bytes_per_second=SLOW_LINK_BYTES_PER_SECOND,
+    sizes=LARGE_TABLE,
+    max_delay_seconds=LARGE_TABLE_MAX_DELAY_SECONDS,
 )
-# The fleet that is designed for; the source takes what the largest sites' takes.
-DESIGNED = HearingPlan(
-    320, 0.1, has_faults=False, targets_a_host=2, reads_a_second=16_000.0
+# The largest fleet of the design, with a source as fast as those of the largest sites.
+LARGEST = PropagationPlan(
+    320, 0.1, has_faults=False, targets_per_host=2, max_reads_per_second=16_000.0
 )
-# How soon a table must be in force everywhere in the fleet that is designed for.
+# The time within which a table must be in force at all hosts of that fleet.
 IN_FORCE_SECONDS = 8.0
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 5, 8])
-def test_a_small_fleet_hears_in_time(seed):
-    run_hearing(seed, SMALL)
+def test_small_fleet_gets_changes_in_time(seed):
+    run_propagation(seed, SMALL)
 
 
-@pytest.mark.parametrize(("seed", "plan"), [(8, GROWN), (2, LARGE)])
-def test_a_large_fleet_hears_in_time_by_a_few_readers(seed, plan):
-    assert run_hearing(seed, plan).calls < plan.hosts * plan.seconds
+@pytest.mark.parametrize(("seed", "plan"), [(8, MEDIUM), (2, LARGE)])
+def test_large_fleet_gets_changes_in_time_from_few_polling_hosts(seed, plan):
+    assert run_propagation(seed, plan).calls < plan.hosts * plan.seconds
 
 
-def test_a_large_fleet_starts_with_few_calls_to_the_source():
-    """320 hosts start at once before 640 targets: 14 pages a reading, 4,480 in all.
+def test_large_fleet_starts_with_few_calls_to_the_source():
+    """320 hosts start at once with 640 targets: 14 pages per read, 4,480 in all.
 
-    Calls are priced and bounded, and a few hosts' readings are enough for all: 3,781
-    calls in the first seconds where each host read all once more, 1,130 now.
+    Calls are priced and limited, and the reads of a few hosts are enough for all. If
+    each host reads everything once more, the first seconds take 3,781 calls instead of
+    1,130.
     """
-    run = run_hearing(1, DESIGNED)
-    assert run.start_calls < DESIGNED.hosts * 14 / 3
+    run = run_propagation(1, LARGEST)
+    assert run.start_calls < LARGEST.hosts * 14 / 3
 
 
-def test_a_large_fleet_has_a_table_moments_after_its_start():
-    """All of 195 hosts lose power; callers are refused until hosts have a table again.
+def test_large_fleet_has_a_table_soon_after_its_start():
+    """195 hosts restart at once; callers are refused until a host has a table.
 
-    Three read the source within 0.1 s; the others waited for their turn to be told,
-    and after a refusal for the next word. Half of the hosts had a table after 1.15 s
-    and all after 1.5 s; now after 0.45 and 0.95 s.
+    Three hosts read the source within 0.1 s. If the others wait for the next gossip
+    round, and after a refused pull for the next message, half of the hosts have a table
+    after 1.15 s and all after 1.5 s, instead of 0.45 and 0.95 s.
     """
-    plan = HearingPlan(195, 0.1, has_faults=False, reads_a_second=16_000.0)
-    run = run_hearing(1, plan)
-    assert run.half_started < 0.7
-    assert run.all_started < 1.2
+    plan = PropagationPlan(195, 0.1, has_faults=False, max_reads_per_second=16_000.0)
+    run = run_propagation(1, plan)
+    assert run.half_started_seconds < 0.7
+    assert run.all_started_seconds < 1.2
 
 
-def test_a_change_wakes_few_watches_of_a_large_fleet():
-    """195 hosts in three failure domains; each change is asked for by their readers.
+def test_change_answers_few_watches_of_a_large_fleet():
+    """195 hosts in three failure domains; only polling hosts fetch each change.
 
-    Calls are priced. With two readers for each nine hosts a change took 32 and 39 calls
-    (seeds 1 and 2), with two for each domain of up to 40 it takes 13 and 11.
+    Calls are priced. With two polling hosts per nine hosts a change takes 32 and 39
+    calls (seeds 1 and 2), with two per domain of up to 40 hosts 13 and 11.
     """
-    plan = HearingPlan(195, 6.0, has_faults=False, reads_a_second=16_000.0)
-    run = run_hearing(2, plan)
+    plan = PropagationPlan(195, 6.0, has_faults=False, max_reads_per_second=16_000.0)
+    run = run_propagation(2, plan)
     assert run.calls < run.changes * plan.hosts / 10
 
 
-def test_a_watch_that_died_in_silence_is_noticed_without_any_peer():
-    """A host sends work to a target that left five seconds ago.
+def test_silent_watch_is_cancelled_without_news_from_peers():
+    """Guards against requests to a target that left five seconds ago.
 
-    The connections of its watch go silent for good; a change is published just then,
-    and the source is silent to the hosts that could tell of it. Nobody confirms what
-    the host holds, so it gives the watch up: without that this seed fails.
+    The watches of a host never get an answer, a change is published just then, and the
+    source does not answer the peers that could report it. As nobody confirms the host's
+    records, it has to cancel the watch; otherwise this seed fails.
     """
-    run_hearing(6, HearingPlan(9, 30.0))
+    run_propagation(6, PropagationPlan(9, 30.0))
 
 
-def test_a_group_without_readers_is_found_out(monkeypatch):
-    """A domain is cut off from the others, and its readers from the source.
+def test_runs_detect_cells_without_polling_hosts(monkeypatch):
+    """A domain is partitioned from the others, and its polling hosts from the source.
 
-    The rest of the domain reaches the source but waits to be fed. Without the age at
-    which a host asks by itself it is sure of nothing for seconds, or still uses
-    targets that left long ago.
+    The other hosts of the domain reach the source but rely on the polling hosts. If
+    they did not poll themselves from a certain age on, their records would be
+    unconfirmed for seconds, or they would use targets that left long ago.
     """
-    plan = HearingPlan(30, 15.0, is_isolating=True)
+    plan = PropagationPlan(30, 15.0, isolates_pollers=True)
     for seed in range(1, 8):
-        run_hearing(seed, plan)
+        run_propagation(seed, plan)
     monkeypatch.setattr(gateway_const, "STANDBY_POLL_AGE_SECONDS", float("inf"))
     for seed in (3, 5, 6, 7):
         with pytest.raises(AssertionError, match="lacks|confirmed .* ago"):
-            run_hearing(seed, plan)
+            run_propagation(seed, plan)
 
 
-def test_a_small_fleet_with_a_cut_domain_hears_in_time():
-    """A failure domain is cut off, and its three hosts' watches get no answer.
+def test_small_fleet_with_a_partitioned_domain_gets_changes_in_time():
+    """A failure domain is partitioned, and its three hosts' watches get no answer.
 
     The source answers again seconds later, but each host waits for the end of its
-    watch, up to 12 s, and no peer shows that it is dead: a target that left was used
-    for 6.8 s at the first of these seeds, as the run drew then; the others showed
-    the same later. Hosts give up watches that nobody's word speaks for.
+    watch, up to 12 s, and no peer shows that the watch is dead. At the first of these
+    seeds a target that had left was used for 6.8 s; the others failed in the same way.
+    Hosts cancel watches whose results no peer confirms.
     """
     for seed in (61, 90, 138):
-        run_hearing(seed, HearingPlan(9, 12.0, start_seconds=3.0))
-    run_hearing(61, HearingPlan(9, 30.0))
+        run_propagation(seed, PropagationPlan(9, 12.0, start_seconds=3.0))
+    run_propagation(61, PropagationPlan(9, 30.0))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_grown_table_is_in_force_in_time_over_thin_links(seed):
-    run_hearing(seed, THIN)
+def test_large_table_is_in_force_in_time_over_slow_links(seed):
+    run_propagation(seed, SLOW_LINKS)
 
 
-def test_tables_given_up_while_they_come_are_found_out(monkeypatch):
-    """Requests run by a table that was replaced more than eight seconds ago.
+def test_runs_detect_cancelled_transfers_of_tables(monkeypatch):
+    """Guards against requests routed by a table that was replaced over 8 s ago.
 
-    Tables go from host to host as they are, 605 KB over links of 10 Mbit/s that several
-    transfers share. Where each is given up after a second in all, as if its sender
-    were silent, hosts never have a table, or only as those that hold it are left
-    alone; waited for while they come, all have it within the bound.
+    Tables are sent uncompressed between hosts, 605 KB over links of 10 Mbit/s that
+    several transfers share. If a transfer is cancelled after a second in total, as if
+    its sender were silent, hosts never get a table, or only once its holders have few
+    other transfers. If transfers in progress are awaited, all have it in time.
     """
-    sizes = replace(GROWN_TABLE, given_table=605_000)
-    plan = replace(THIN, sizes=sizes, held_seconds=IN_FORCE_SECONDS, has_faults=False)
+    sizes = replace(LARGE_TABLE, peer_table_bytes=605_000)
+    plan = replace(
+        SLOW_LINKS, sizes=sizes, max_delay_seconds=IN_FORCE_SECONDS, has_faults=False
+    )
     for seed in (1, 2):
-        run_hearing(seed, plan)
+        run_propagation(seed, plan)
     monkeypatch.setattr(wire_const, "MAX_TRANSFER_SECONDS", 1.0)
     for seed in (1, 2):
         with pytest.raises(AssertionError, match="lacks|confirmed .* ago"):
-            run_hearing(seed, plan)
+            run_propagation(seed, plan)
