--- a/libraries/bench/tarragonward_bench/lengths/__init__.py
+++ b/libraries/bench/tarragonward_bench/lengths/__init__.py
@@ -1,1 +1,1 @@
-"""Measure policies for prompts of all lengths on modelled engines."""
+"""Measure placement policies for prompts of all lengths on simulated engines."""
--- a/libraries/bench/tarragonward_bench/lengths/__main__.py
+++ b/libraries/bench/tarragonward_bench/lengths/__main__.py
@@ -1,4 +1,4 @@
-"""Let `python3 -m tarragonward_bench.lengths` run the room's main job."""
+"""Entry point of `python3 -m tarragonward_bench.lengths`."""
 
 import sys
 
--- a/libraries/bench/tarragonward_bench/lengths/loading.py
+++ b/libraries/bench/tarragonward_bench/lengths/loading.py
@@ -1,4 +1,4 @@
-"""Measure how early a cold fleet is useful: `script/measure lengths.loading`."""
+"""Measure how fast a cold fleet loads: `script/measure lengths.loading`."""
 
 from __future__ import annotations
 
@@ -9,37 +9,37 @@
 )
 from tarragonward_standins.weight_store import WeightStoreModel, WeightStoreSizes
 
-ENGINES = 20
-DOMAINS = 3
+ENGINE_COUNT = 20
+DOMAIN_COUNT = 3
 MODEL_BYTES = 60e9
 TICK_SECONDS = 0.5
 
 
 def run_loads(parallel: int, sizes: WeightStoreSizes) -> list[float]:
-    """Return when each engine was loaded, in order, in seconds."""
-    wanted = [
-        PendingModelLoad(f"engine-{n:02}", f"domain-{n % DOMAINS}")
-        for n in range(ENGINES)
+    """Return the times at which engines were loaded, in order, in seconds."""
+    pending = [
+        PendingModelLoad(f"engine-{n:02}", f"domain-{n % DOMAIN_COUNT}")
+        for n in range(ENGINE_COUNT)
     ]
     store = WeightStoreModel(sizes)
-    loaded: dict[str, float] = {}
+    loaded_at: dict[str, float] = {}
     now = 0.0
-    while len(loaded) < ENGINES:
-        for engine in choose_loads(wanted, loaded, parallel):
+    while len(loaded_at) < ENGINE_COUNT:
+        for engine in choose_loads(pending, loaded_at, parallel):
             store.start(engine, MODEL_BYTES)
         now += TICK_SECONDS
         for engine in store.advance(TICK_SECONDS):
-            loaded[engine] = now
-    return sorted(loaded.values())
+            loaded_at[engine] = now
+    return sorted(loaded_at.values())
 
 
 def main() -> None:
-    """Print the times of loading one at a time, as decided, and all at once."""
+    """Print the times of loading sequentially, as the product does, and all at once."""
     sizes = WeightStoreSizes()
     decided = count_parallel_loads(
         sizes.store_bytes_per_second, sizes.engine_bytes_per_second
     )
-    for name, parallel in (("one", 1), ("decided", decided), ("all", ENGINES)):
+    for name, parallel in (("one", 1), ("decided", decided), ("all", ENGINE_COUNT)):
         times = run_loads(parallel, sizes)
         print(
             f"{name:<8} at once={parallel:<3} first={times[0]:.1f}s"
--- a/libraries/bench/tarragonward_bench/lengths/policies.py
+++ b/libraries/bench/tarragonward_bench/lengths/policies.py
@@ -1,4 +1,4 @@
-"""Name the policies that are measured: the two usual ones, and ours with parts off."""
+"""The measured policies: two common baselines, the product's, and its ablations."""
 
 from __future__ import annotations
 
@@ -19,16 +19,23 @@
     Refused,
 )
 
-__all__ = ["ABLATIONS", "LEAST", "OURS", "POLICIES", "ROUND_ROBIN", "HostPolicy"]
+__all__ = [
+    "ABLATIONS",
+    "LEAST",
+    "POLICIES",
+    "ROUND_ROBIN",
+    "TARRAGONWARD",
+    "HostPolicy",
+]
 
 ROUND_ROBIN = "round_robin"
 LEAST = "least_in_flight"
-OURS = "tarragonward"
-GROUP_FILL = 0.95
+TARRAGONWARD = "tarragonward"
+MAX_GROUP_FILL = 0.95
 
 
 class HostPolicy(Protocol):
-    """What one host decides with."""
+    """The placement policy of one host."""
 
     def place(
         self,
@@ -37,25 +44,25 @@
         now: float,
         fleet: FleetView | None = None,
     ) -> Placed | Refused:
-        """Return where the prompt goes."""
+        """Return where to place the prompt."""
 
     def note_first_token(self, request_id: str, now: float) -> None:
-        """Hear of a first token."""
+        """Handle the first token of an answer."""
 
     def note_finished(self, request_id: str, tokens: int, now: float) -> None:
-        """Hear of a whole answer."""
+        """Handle a complete answer."""
 
     def release(self, request_id: str) -> None:
-        """Hear that a prompt has left its engines."""
+        """Remove a prompt that no longer uses its engines."""
 
 
-class _Usual:
-    """A policy that orders the engines; a long prompt takes the first few of them."""
+class _BaselinePolicy:
+    """A policy that orders the engines; a long prompt uses the first few of them."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
         self.counts: Counter[str] = Counter()
-        self._placed: dict[str, tuple[str, ...]] = {}
+        self._engines_by_request: dict[str, tuple[str, ...]] = {}
 
     def order(self, views: list[EngineView]) -> list[EngineView]:
         raise NotImplementedError
@@ -71,14 +78,20 @@
         if not views:
             return Refused(ResultCode.NO_TARGET, 1.0)
         views = self.order(views)
-        need, size = request.kv_tokens, views[0].kv_tokens
-        count = 1 if need <= size else -(-need // int(size * GROUP_FILL))
-        chosen = tuple(view.name for view in views[:count])
-        part = -(-need // count)
-        parts = [part] * (count - 1) + [need - part * (count - 1)]
-        self._placed[request.request_id] = chosen
-        self.counts.update(chosen)
-        return Placed(chosen, 0.0, parts=tuple(parts))
+        needed_tokens, capacity = request.kv_tokens, views[0].kv_tokens
+        count = (
+            1
+            if needed_tokens <= capacity
+            else -(-needed_tokens // int(capacity * MAX_GROUP_FILL))
+        )
+        engine_names = tuple(view.name for view in views[:count])
+        part_tokens = -(-needed_tokens // count)
+        parts = [part_tokens] * (count - 1) + [
+            needed_tokens - part_tokens * (count - 1)
+        ]
+        self._engines_by_request[request.request_id] = engine_names
+        self.counts.update(engine_names)
+        return Placed(engine_names, 0.0, parts=tuple(parts))
 
     def note_first_token(self, request_id: str, now: float) -> None:
         """Learn nothing."""
@@ -87,51 +100,51 @@
         """Learn nothing."""
 
     def release(self, request_id: str) -> None:
-        self.counts.subtract(self._placed.pop(request_id, ()))
+        self.counts.subtract(self._engines_by_request.pop(request_id, ()))
 
 
-class RoundRobin(_Usual):
-    """Each request to the next engine."""
+class RoundRobin(_BaselinePolicy):
+    """Sends each request to the next engine."""
 
     _next: int | None = None
 
     def order(self, views: list[EngineView]) -> list[EngineView]:
-        """Return the engines from the next one on."""
+        """Return the engines, rotated to start with the next one."""
         if self._next is None:
             self._next = self.random.randrange(len(views))
         self._next = (self._next + 1) % len(views)
         return views[self._next :] + views[: self._next]
 
 
-class LeastInFlight(_Usual):
-    """Each request to the engine with the fewest of this host's requests."""
+class LeastInFlight(_BaselinePolicy):
+    """Sends each request to the engine with the fewest requests of this host."""
 
     def order(self, views: list[EngineView]) -> list[EngineView]:
-        """Return the engines by requests in flight, ties by chance."""
+        """Return the engines by requests in flight, ties in random order."""
         return sorted(
             views, key=lambda view: (self.counts[view.name], self.random.random())
         )
 
 
-FULL = PlacementPolicy()
+FULL_POLICY = PlacementPolicy()
 ABLATIONS = {
-    "no_prediction": replace(FULL, uses_prediction=False),
-    "no_sampling": replace(FULL, uses_sampling=False),
-    "no_lane": replace(FULL, uses_long_pool=False),
-    "no_chunks": replace(FULL, uses_chunks=False),
-    "no_affinity": replace(FULL, uses_affinity=False),
-    "no_admission": replace(FULL, uses_admission=False),
-    "no_limits": replace(FULL, uses_limits=False),
+    "no_prediction": replace(FULL_POLICY, uses_prediction=False),
+    "no_sampling": replace(FULL_POLICY, uses_sampling=False),
+    "no_lane": replace(FULL_POLICY, uses_long_pool=False),
+    "no_chunks": replace(FULL_POLICY, uses_chunks=False),
+    "no_affinity": replace(FULL_POLICY, uses_affinity=False),
+    "no_admission": replace(FULL_POLICY, uses_admission=False),
+    "no_limits": replace(FULL_POLICY, uses_limits=False),
 }
 
 
-def _make_ours(policy: PlacementPolicy) -> Callable[[Random], HostPolicy]:
+def _build_placement(policy: PlacementPolicy) -> Callable[[Random], HostPolicy]:
     return lambda random: Placement(random, policy)
 
 
 POLICIES: dict[str, Callable[[Random], HostPolicy]] = {
     ROUND_ROBIN: RoundRobin,
     LEAST: LeastInFlight,
-    OURS: _make_ours(FULL),
-    **{name: _make_ours(policy) for name, policy in ABLATIONS.items()},
+    TARRAGONWARD: _build_placement(FULL_POLICY),
+    **{name: _build_placement(policy) for name, policy in ABLATIONS.items()},
 }
