--- a/libraries/standins/tarragonward_standins/__init__.py
+++ b/libraries/standins/tarragonward_standins/__init__.py
@@ -1,4 +1,7 @@
-"""Small stand-ins of what the system meets; the daemon never imports them."""
+"""Test doubles for engines, services, clients and the platform.
+
+Used by tests and benchmarks only; the daemon never imports this package.
+"""
 
 from .answers import AnswerText, ExpectedAnswer, expect_answer
 from .engine import EngineStandIn
--- a/libraries/standins/tarragonward_standins/answers.py
+++ b/libraries/standins/tarragonward_standins/answers.py
@@ -1,4 +1,4 @@
-"""Make text that depends on all text before it, as a language model's does."""
+"""Generate deterministic answer text in which each token depends on the context."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 
 
 class AnswerText:
-    """The next token of a context: a function of the whole text so far.
+    """Generates tokens, each a hash of the prompt and all tokens before it.
 
-    So an answer that goes on from prompt plus given text is the same as one that was
-    never broken off, and a token lost, doubled or taken from another answer shows.
+    An answer resumed from the prompt and the text generated so far is therefore equal
+    to an uninterrupted one, and a token that is lost, duplicated or taken from another
+    answer changes all text after it.
     """
 
     def __init__(self, context: str) -> None:
         self.context = context
         self._hash = hashlib.sha256(context.encode("utf-8", "surrogatepass"))
 
-    def is_at_stop(self) -> bool:
-        """Return whether the answer ends here by itself."""
+    def is_finished(self) -> bool:
+        """Return whether the answer ends here with a stop token."""
         return self._hash.digest()[-1] == STOP_BYTE
 
     def next_token(self) -> str:
-        """Return the next token and take it into the context."""
+        """Generate the next token and append it to the context."""
         token = " " + self._hash.hexdigest()[:3]
         self._hash.update(token.encode())
         return token
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True)
 class ExpectedAnswer:
-    """What a whole answer must be."""
+    """The complete answer that a prompt must produce."""
 
     text: str
     tokens: int
@@ -42,11 +43,11 @@
 
 
 def expect_answer(prompt: str, max_tokens: int) -> ExpectedAnswer:
-    """Return the whole answer to a prompt."""
+    """Return the complete answer to a prompt."""
     answer = AnswerText(prompt)
     parts: list[str] = []
     while len(parts) < max_tokens:
-        if answer.is_at_stop():
+        if answer.is_finished():
             return ExpectedAnswer("".join(parts), len(parts), "stop")
         parts.append(answer.next_token())
     return ExpectedAnswer("".join(parts), len(parts), "length")
--- a/libraries/standins/tarragonward_standins/client.py
+++ b/libraries/standins/tarragonward_standins/client.py
@@ -1,4 +1,4 @@
-"""Send requests as a caller would, and judge the answers."""
+"""Send requests to a host as a client does, and classify the answers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Outcome(Enum):
-    """How a request ended, as its caller judges it."""
+    """How a request ended from its client's point of view."""
 
     WHOLE = "whole"
     FAILED_IN_TIME = "failed_in_time"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class CompletionResult:
-    """A model request's end; ttft_seconds is None where no text came."""
+    """The result of a completion; ttft_seconds is None if no token was received."""
 
     outcome: Outcome
     code: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class CallResult:
-    """A call's end; body is the target's answer, or empty."""
+    """The result of a service call; body is the target's answer, or empty."""
 
     code: int
     status: int
@@ -60,7 +60,7 @@
     max_tokens: int,
     time_limit: float,
 ) -> CompletionResult:
-    """Stream a completion and judge it against what the engine must answer."""
+    """Stream a completion and compare it with the answer the engine must give."""
     reader = _StreamReader()
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -73,14 +73,14 @@
     except (TargetError, TimeoutError, OSError) as err:
         detail = repr(err)
     seconds = loop.time() - started
-    ttft = None if reader.first_at is None else reader.first_at - started
-    outcome = _judge(reader, prompt, max_tokens, seconds, time_limit)
+    ttft = None if reader.first_token_at is None else reader.first_token_at - started
+    outcome = _classify(reader, prompt, max_tokens, seconds, time_limit)
     return CompletionResult(
         outcome, reader.code, seconds, ttft, detail, reader.retry_after_seconds
     )
 
 
-def _judge(
+def _classify(
     reader: _StreamReader,
     prompt: str,
     max_tokens: int,
@@ -97,39 +97,39 @@
             expected.finish_reason,
         )
         return Outcome.WHOLE if is_whole else Outcome.WRONG
-    # A part of the answer, followed by an error or a lost connection, is not wrong
-    # as long as it is a part of this answer.
+    # A partial answer that ends with an error or a lost connection is a failure, not a
+    # wrong answer, as long as it is a prefix of the expected one.
     return Outcome.FAILED_IN_TIME if expected.text.startswith(text) else Outcome.WRONG
 
 
 class _StreamReader:
-    """Gather the server-sent events of one answer."""
+    """Collects the server-sent events of one answer."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
         self.finish_reason: str | None = None
         self.code = 0
         self.retry_after_seconds = 0.0
-        self.first_at: float | None = None
+        self.first_token_at: float | None = None
 
-    def take(self, line: bytes) -> None:
-        """Take one line of the stream."""
+    def feed(self, line: bytes) -> None:
+        """Process one line of the stream."""
         if not line.startswith(b"data: ") or line == b"data: [DONE]":
             return
         event = orjson.loads(line.removeprefix(b"data: "))
         if "error" in event:
-            self.take_error(event["error"])
+            self.record_error(event["error"])
             return
         choice = event["choices"][0]
         if choice["text"]:
-            if self.first_at is None:
-                self.first_at = asyncio.get_running_loop().time()
+            if self.first_token_at is None:
+                self.first_token_at = asyncio.get_running_loop().time()
             self.parts.append(choice["text"])
         if choice["finish_reason"] is not None:
             self.finish_reason = choice["finish_reason"]
 
-    def take_error(self, error: dict[str, Any]) -> None:
-        """Take the numbered error that ended the answer."""
+    def record_error(self, error: dict[str, Any]) -> None:
+        """Record the error that ended the answer."""
         self.code = error["code"]
         self.retry_after_seconds = error["retry_after_seconds"] or 0.0
 
@@ -153,14 +153,14 @@
     ) as stream:
         if stream.status != 200:
             error: Any = orjson.loads(await stream.async_read_body())
-            reader.take_error(error["error"])
+            reader.record_error(error["error"])
             return
         async for line in stream.async_iterate_lines():
-            reader.take(line)
+            reader.feed(line)
 
 
 async def async_get_key_prefix(address: Address, token: str) -> str:
-    """Return a key prefix of the host at an address; raise TargetError."""
+    """Fetch the call-key prefix of a host; raise TargetError on failure."""
     answer = await async_send_http(
         address,
         "GET",
@@ -182,7 +182,7 @@
     time_limit: float = 5.0,
     service: str = "approvals",
 ) -> CallResult:
-    """Send one call; raise TargetError where no answer comes."""
+    """Send one service call; raise TargetError if there is no answer."""
     headers = {
         "authorization": f"Bearer {token}",
         "x-time-limit-seconds": str(time_limit),
@@ -204,5 +204,5 @@
 
 
 def compute_body_hash(body: bytes) -> str:
-    """Return what the service stand-in answers of a body."""
+    """Return the hash of a body that the service stand-in reports."""
     return hashlib.sha256(body).hexdigest()
--- a/libraries/standins/tarragonward_standins/const.py
+++ b/libraries/standins/tarragonward_standins/const.py
@@ -1,9 +1,9 @@
-"""Hold the assumed speeds and sizes of the stand-ins."""
+"""Default speeds and sizes of the stand-ins."""
 
 from __future__ import annotations
 
-# The engine's assumptions stand in examples/engine-assumptions.toml; a test holds
-# these defaults equal to that file, which docs/DECISIONS.md explains.
+# The engine defaults equal those of examples/engine-assumptions.toml, which a test
+# checks; docs/DECISIONS.md gives the reasons.
 DEFAULT_BLOCK_TOKENS = 512
 DEFAULT_CHUNK_TOKENS = 2_048
 DEFAULT_KV_TOKENS = 400_000
@@ -15,11 +15,11 @@
 DEFAULT_STEP_SECONDS_PER_PREFILL_TOKEN = 0.00004
 DEFAULT_STEP_SECONDS_PER_SEQUENCE = 0.0001
 DEFAULT_WEIGHT_LOAD_SECONDS = 30.0
-IDLE_SECONDS = 0.002
+IDLE_POLL_SECONDS = 0.002
 MAX_BODY_BYTES = 32 * 1024 * 1024
 MAX_CACHE_EVENTS = 256
-MEASURE_WEIGHT = 0.05
+RATE_SMOOTHING_FACTOR = 0.05
 REPORT_INTERVAL_SECONDS = 0.1
 WEIGHT_READ_TIMEOUT_SECONDS = 600.0
 WEIGHT_RETRY_SECONDS = 0.5
-WATCH_SECONDS = 5.0
+MAX_WATCH_SECONDS = 5.0
--- a/libraries/standins/tarragonward_standins/engine.py
+++ b/libraries/standins/tarragonward_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a model engine, over HTTP."""
+"""Stand-in for a model engine, served over HTTP."""
 
 from __future__ import annotations
 
@@ -20,19 +20,23 @@
 from .process import run_server
 from .weight_store import WeightReader
 
-__all__ = ["EngineStandIn", "HintFaults"]
+__all__ = ["EngineStandIn", "ReportFaults"]
 
 STREAMS = "/v1/streams"
 RESERVATIONS = "/v1/reservations"
-HELD = ("streams", "reservations")
+HOLDER_FIELDS = ("streams", "reservations")
 CACHE_EVENTS = "/v1/cache-events"
 KV = "/v1/kv"
 HTTP_NO_MEMORY = 507
 
 
 @dataclass(frozen=True)
-class HintFaults:
-    """How late and how incomplete an engine's hints are; lag_seconds is for both."""
+class ReportFaults:
+    """Faults of an engine's reports.
+
+    lag_seconds delays load reports and cache events; every lose_every-th cache event is
+    omitted, none if it is 0.
+    """
 
     lag_seconds: float = 0.0
     lose_every: int = 0
@@ -49,7 +53,7 @@
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def produce(self) -> None:
-        if self.text.is_at_stop():
+        if self.text.is_finished():
             self.finish_reason = "stop"
         else:
             self.tokens.append(self.text.next_token())
@@ -59,33 +63,34 @@
 
 
 class EngineStandIn:
-    """One engine: a model of its steps, and the streams that read its tokens.
+    """An engine that runs an EngineModel and streams the generated tokens.
 
-    A stream keeps its memory until it was read to its end or cancelled, so memory
-    that its owner forgets stays lost: that is what the system must not let happen.
+    A stream holds its KV memory until it has been read to its end or is cancelled.
+    Memory whose owner forgets the stream is therefore leaked, which makes such leaks
+    visible to tests.
     """
 
     def __init__(
         self,
         address: Address,
         sizes: EngineSizes,
-        faults: HintFaults | None = None,
+        faults: ReportFaults | None = None,
         ignores_fencing: bool = False,
         weights: WeightReader | None = None,
     ) -> None:
         self._ignores_fencing = ignores_fencing
         self._orders: dict | None = None
         self._weights = weights
-        self._loading: asyncio.Task[None] | None = None
+        self._load_task: asyncio.Task[None] | None = None
         self.model = EngineModel(sizes)
-        self._faults = faults or HintFaults()
+        self._faults = faults or ReportFaults()
         self._reports: deque[tuple[float, dict[str, Any]]] = deque()
         self._streams: dict[str, _Stream] = {}
         self._owners: dict[str, str] = {}
         self._server = HttpServer(
             address, self._async_handle, HttpLimits(max_body_bytes=c.MAX_BODY_BYTES)
         )
-        self._stepping: asyncio.Task[None] | None = None
+        self._step_task: asyncio.Task[None] | None = None
         self._fencing = 0
 
     @property
@@ -94,23 +99,23 @@
         return self._server.address
 
     async def async_setup(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         await self._server.async_setup()
-        self._stepping = asyncio.create_task(self._async_step())
+        self._step_task = asyncio.create_task(self._async_run_steps())
 
     async def async_unload(self) -> None:
-        """Stop."""
-        for task in (self._stepping, self._loading):
+        """Stop serving and cancel the background tasks."""
+        for task in (self._step_task, self._load_task):
             if task is not None:
                 task.cancel()
         await self._server.async_unload()
 
-    async def _async_step(self) -> None:
+    async def _async_run_steps(self) -> None:
         while True:
-            self._keep_report()
+            self._record_report()
             result = self.model.step()
             if result is None:
-                await asyncio.sleep(c.IDLE_SECONDS)
+                await asyncio.sleep(c.IDLE_POLL_SECONDS)
                 continue
             await asyncio.sleep(result.seconds)
             for stream_id in result.tokens_for:
@@ -129,9 +134,9 @@
             case "POST", path if path == STREAMS:
                 await self._async_open(orjson.loads(request.body), responder)
             case "GET", "/v1/load":
-                report = self._get_late_report()
+                report = self._get_delayed_report()
                 if request.query.get("held") == "0":
-                    report = {k: v for k, v in report.items() if k not in HELD}
+                    report = {k: v for k, v in report.items() if k not in HOLDER_FIELDS}
                 await responder.async_send_json(200, report)
             case "GET", path if path == CACHE_EVENTS:
                 after = int(request.query.get("after", "0"))
@@ -143,14 +148,14 @@
             case "POST", path if path == RESERVATIONS:
                 await self._async_reserve(orjson.loads(request.body), responder)
             case "POST", "/v1/orders":
-                await self._async_order(orjson.loads(request.body), responder)
+                await self._async_apply_order(orjson.loads(request.body), responder)
             case "DELETE", path if path.startswith(RESERVATIONS + "/"):
                 reservation_id = path.removeprefix(RESERVATIONS + "/")
                 self._owners.pop(reservation_id, None)
                 found = self.model.release(reservation_id)
                 await responder.async_send_json(200, {"found": found})
             case "DELETE", _ if stream_id in self._streams:
-                self._drop(stream_id)
+                self._remove_stream(stream_id)
                 await responder.async_send_json(200, {"found": True})
             case "DELETE", _:
                 await responder.async_send_json(200, {"found": False})
@@ -171,7 +176,7 @@
             tuple(body.get("prefix_hashes", ())),
             body.get("reservations", {}).get(body.get("leader", ""), ""),
         )
-        if self._is_cold():
+        if self._lacks_weights():
             await responder.async_send_json(503, {"error": "no weights"})
             return
         if stream_id in self._streams:
@@ -213,7 +218,7 @@
                 await responder.async_send_chunk(b"\n".join(lines) + b"\n")
             if stream.finish_reason:
                 await responder.async_finish()
-                self._drop(stream_id)
+                self._remove_stream(stream_id)
                 return
 
     async def _async_reserve(self, body: dict, responder: Responder) -> None:
@@ -223,28 +228,28 @@
         status = 200 if granted else 409
         await responder.async_send_json(status, {"granted": granted})
 
-    async def _async_order(self, body: dict, responder: Responder) -> None:
+    async def _async_apply_order(self, body: dict, responder: Responder) -> None:
         is_current = self._ignores_fencing or body["fencing"] >= self._fencing
         if is_current:
             self._fencing = body["fencing"]
-            self._load(body)
+            self._apply_order(body)
         await responder.async_send_json(200 if is_current else 409, {"ok": is_current})
 
-    def _load(self, body: dict) -> None:
+    def _apply_order(self, body: dict) -> None:
         models = None if self._orders is None else self._orders["models"]
         self._orders = body
         if self._weights is None or models == body["models"]:
             return
-        if self._loading is not None:
-            self._loading.cancel()
-        self._loading = asyncio.create_task(self._weights.async_read())
+        if self._load_task is not None:
+            self._load_task.cancel()
+        self._load_task = asyncio.create_task(self._weights.async_read())
 
     def _is_loading(self) -> bool:
-        return self._loading is not None and not self._loading.done()
+        return self._load_task is not None and not self._load_task.done()
 
-    def _is_cold(self) -> bool:
+    def _lacks_weights(self) -> bool:
         return self._weights is not None and (
-            self._loading is None or self._is_loading()
+            self._load_task is None or self._is_loading()
         )
 
     async def _async_export(self, stream_id: str, responder: Responder) -> None:
@@ -253,7 +258,7 @@
             await responder.async_send_json(404, {"error": "no such stream"})
             return
         exported = self.model.export_kv(stream_id)
-        self._drop(stream_id)
+        self._remove_stream(stream_id)
         state = {
             "work": asdict(exported.work),
             "owner": stream.owner,
@@ -277,39 +282,40 @@
         )
         await responder.async_send_json(200, {"imported": True})
 
-    def _drop(self, stream_id: str) -> None:
+    def _remove_stream(self, stream_id: str) -> None:
         stream = self._streams.pop(stream_id, None)
         if stream is not None:
             self.model.remove(stream_id)
             stream.changed.set()
 
-    def _keep_report(self) -> None:
+    def _record_report(self) -> None:
         now = asyncio.get_running_loop().time()
         if self._reports and now - self._reports[-1][0] < c.REPORT_INTERVAL_SECONDS:
             return
         if not self._faults.lag_seconds:
             return
-        self._reports.append((now, self._report()))
-        while len(self._reports) > 1 and self._is_late_enough(self._reports[1], now):
+        self._reports.append((now, self._build_report()))
+        while len(self._reports) > 1 and self._is_due(self._reports[1], now):
             self._reports.popleft()
 
-    def _is_late_enough(self, kept: tuple[float, dict[str, Any]], now: float) -> bool:
-        return now - kept[0] >= self._faults.lag_seconds
+    def _is_due(self, entry: tuple[float, dict[str, Any]], now: float) -> bool:
+        return now - entry[0] >= self._faults.lag_seconds
 
-    def _get_late_report(self) -> dict:
-        return self._reports[0][1] if self._reports else self._report()
+    def _get_delayed_report(self) -> dict:
+        return self._reports[0][1] if self._reports else self._build_report()
 
     def _get_cache_events(self, after: int) -> dict:
-        last = self._get_late_report()["cache_sequence"]
-        lost = self._faults.lose_every
+        last_sequence = self._get_delayed_report()["cache_sequence"]
+        lose_every = self._faults.lose_every
         events = [
             asdict(event)
             for event in self.model.get_cache_events(after)
-            if event.sequence <= last and not (lost and event.sequence % lost == 0)
+            if event.sequence <= last_sequence
+            and not (lose_every and event.sequence % lose_every == 0)
         ]
-        return {"sequence": last, "events": events}
+        return {"sequence": last_sequence, "events": events}
 
-    def _report(self) -> dict:
+    def _build_report(self) -> dict:
         return {
             "kv_tokens": self.model.sizes.kv_tokens,
             "free_kv_tokens": self.model.free_kv_tokens,
@@ -347,7 +353,7 @@
     sizes = EngineSizes() if path is None else EngineSizes.load(path)
     if arguments.kv_tokens is not None:
         sizes = replace(sizes, kv_tokens=arguments.kv_tokens)
-    faults = HintFaults(arguments.lag_seconds, arguments.lose_every)
+    faults = ReportFaults(arguments.lag_seconds, arguments.lose_every)
     sizes = sizes.scale(arguments.time_scale)
     weights = None
     if arguments.weight_store is not None:
--- a/libraries/standins/tarragonward_standins/engine_model.py
+++ b/libraries/standins/tarragonward_standins/engine_model.py
@@ -1,4 +1,4 @@
-"""Model an engine's batching, memory and step time, without I/O."""
+"""Model of an engine's batching, memory and step time, without I/O."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True)
 class EngineSizes:
-    """The assumed sizes and speeds of an engine; see docs/DECISIONS.md.
+    """Sizes and speeds of an engine; see docs/DECISIONS.md.
 
-    Sizes are in tokens, times in seconds; time_scale multiplies every step.
+    Sizes are in tokens, times in seconds; time_scale multiplies every step time.
     """
 
     kv_tokens: int = c.DEFAULT_KV_TOKENS
@@ -35,7 +35,7 @@
 
     @classmethod
     def load(cls, path: Path) -> EngineSizes:
-        """Return the sizes of a settings file; raise TypeError on an unknown key."""
+        """Load the sizes from a TOML file; raise TypeError on an unknown key."""
         return cls(**tomllib.loads(path.read_text()))
 
     def scale(self, factor: float) -> EngineSizes:
@@ -45,10 +45,10 @@
 
 @dataclass
 class EngineWork:
-    """One prompt on the engine; lower priority numbers go first.
+    """One request on the engine; lower priority numbers are prefilled first.
 
-    chunk_tokens bounds what one step reads of the prompt, 0 for the engine's own
-    bound. A work on a reservation holds that memory and none besides.
+    chunk_tokens limits the prompt tokens prefilled per step; 0 means the engine's own
+    limit. A request with a reservation uses that memory and allocates none itself.
     """
 
     work_id: str
@@ -65,25 +65,25 @@
 
     @property
     def kv_tokens(self) -> int:
-        """Return the KV memory that the work holds besides reservations, in tokens."""
+        """Return the KV memory held outside of reservations, in tokens."""
         return 0 if self.reservation_id else self.prompt_tokens + self.max_tokens
 
     @property
-    def unread_tokens(self) -> int:
-        """Return the prompt tokens that are still to be read."""
+    def uncached_tokens(self) -> int:
+        """Return the prompt tokens not yet prefilled."""
         return 0 if self.has_finished else self.prompt_tokens - self.prefilled
 
 
 @dataclass(frozen=True)
 class KvExport:
-    """A work's KV cache and place, to go on with it on another engine."""
+    """A request's KV cache and progress, for import into another engine."""
 
     work: EngineWork
 
 
 @dataclass(frozen=True)
 class StepResult:
-    """One step: how long it takes and which work gets a token at its end."""
+    """One step: its duration and the requests that get a token at its end."""
 
     seconds: float
     tokens_for: tuple[str, ...] = field(default=())
@@ -92,7 +92,7 @@
 
 
 class EngineModel:
-    """Continuous batching with chunked prefill, priorities and bounded memory."""
+    """Continuous batching with chunked prefill, priorities and limited memory."""
 
     def __init__(self, sizes: EngineSizes) -> None:
         self.sizes = sizes
@@ -110,28 +110,28 @@
 
     @property
     def free_kv_tokens(self) -> int:
-        """Return the KV memory that no work or reservation holds, in tokens."""
+        """Return the KV memory free of requests and reservations, in tokens."""
         return self.sizes.kv_tokens - self._held_tokens
 
     @property
     def queued_prefill_tokens(self) -> int:
-        """Return the prompt tokens that are still to be read."""
-        return sum(work.unread_tokens for _, _, work in self._prefilling)
+        """Return the prompt tokens not yet prefilled, over all requests."""
+        return sum(work.uncached_tokens for _, _, work in self._prefilling)
 
     @property
     def running(self) -> int:
-        """Return how many prompts are on the engine."""
+        """Return the number of requests on the engine."""
         return len(self._work)
 
     def get_queued_by_priority(self) -> dict[int, int]:
-        """Return the prompt tokens still to be read, by engine priority."""
+        """Return the prompt tokens not yet prefilled, by engine priority."""
         queued: dict[int, int] = {}
         for priority, _, work in self._prefilling:
-            queued[priority] = queued.get(priority, 0) + work.unread_tokens
+            queued[priority] = queued.get(priority, 0) + work.uncached_tokens
         return queued
 
     def submit(self, work: EngineWork) -> bool:
-        """Take the work, or refuse it for want of memory or of its reservation."""
+        """Admit a request; return False if its memory or its reservation is missing."""
         lacks_reservation = (
             work.reservation_id and work.reservation_id not in self._reservations
         )
@@ -141,76 +141,76 @@
             return False
         cached = self.cache.count_cached_tokens(work.prefix_hashes)
         work.prefilled = max(work.prefilled, min(cached, work.prompt_tokens - 1))
-        self._take(work)
+        self._admit(work)
         return True
 
-    def _take(self, work: EngineWork) -> None:
+    def _admit(self, work: EngineWork) -> None:
         self._order += 1
         work.order = self._order
         self._work[work.work_id] = work
-        self._hold(work.kv_tokens)
+        self._adjust_held_tokens(work.kv_tokens)
         if work.prefilled < work.prompt_tokens:
             insort(self._prefilling, (work.priority, work.order, work))
         elif not work.has_finished:
             self._start_decoding(work)
 
     def finish(self, work_id: str) -> None:
-        """Compute no more of a work; it keeps its memory until it is removed."""
+        """Stop computing a request; it holds its memory until it is removed."""
         work = self._work[work_id]
         if not work.has_finished:
             self._stop(work)
             work.has_finished = True
 
     def remove(self, work_id: str) -> bool:
-        """Free what the work holds; return whether it was there."""
+        """Remove a request and free its memory; return whether it existed."""
         work = self._work.pop(work_id, None)
         if work is None:
             return False
         if not work.has_finished:
             self._stop(work)
-        self._hold(-work.kv_tokens)
+        self._adjust_held_tokens(-work.kv_tokens)
         if work.prefilled >= work.prompt_tokens:
             self.cache.add(work.prefix_hashes, self.free_kv_tokens)
         return True
 
     def export_kv(self, work_id: str) -> KvExport:
-        """Return a work's KV cache and remove the work; raise KeyError without it."""
+        """Remove a request and return its KV cache; raise KeyError if it is unknown."""
         work = self._work[work_id]
         self.remove(work_id)
         return KvExport(replace(work, reservation_id=""))
 
     def import_kv(self, exported: KvExport) -> bool:
-        """Go on with an exported work, or refuse it for want of memory."""
+        """Continue an exported request; return False if memory is short."""
         work = replace(exported.work)
         if work.work_id in self._work or work.kv_tokens > self.free_kv_tokens:
             return False
-        self._take(work)
+        self._admit(work)
         return True
 
     def reserve(self, reservation_id: str, tokens: int) -> bool:
-        """Reserve KV memory, or refuse; repeating a reservation changes nothing."""
+        """Reserve KV memory; idempotent. Return False if memory is short."""
         if reservation_id in self._reservations:
             return True
         if tokens > self.free_kv_tokens:
             return False
         self._reservations[reservation_id] = tokens
-        self._hold(tokens)
+        self._adjust_held_tokens(tokens)
         return True
 
     def release(self, reservation_id: str) -> bool:
-        """Free a reservation; return whether it was there."""
+        """Free a reservation; return whether it existed."""
         tokens = self._reservations.pop(reservation_id, None)
         if tokens is None:
             return False
-        self._hold(-tokens)
+        self._adjust_held_tokens(-tokens)
         return True
 
     def get_cache_events(self, after: int) -> Iterable[CacheEvent]:
-        """Return the cache events still kept after a sequence number."""
+        """Return the retained cache events after a sequence number."""
         return self.cache.get_events(after)
 
     def step(self) -> StepResult | None:
-        """Run one step, or return None where there is nothing to do."""
+        """Run one step; return None if there is nothing to do."""
         if not self._prefilling and not self._decoding:
             return None
         sizes = self.sizes
@@ -223,34 +223,34 @@
         for work in self._decoding.values():
             work.generated += 1
         self._decode_context_tokens += len(decoded)
-        read, read_seconds, first = self._prefill()
-        seconds = (seconds + read_seconds) * sizes.time_scale
-        self._measure(seconds, read)
+        prefilled, prefill_seconds, first = self._prefill()
+        seconds = (seconds + prefill_seconds) * sizes.time_scale
+        self._update_rates(seconds, prefilled)
         for work in first:
             self._start_decoding(work)
         first_ids = tuple(work.work_id for work in first)
         ids = (*decoded, *first_ids)
-        return StepResult(seconds, ids, first_ids, self._finish_full(ids))
+        return StepResult(seconds, ids, first_ids, self._finish_completed(ids))
 
     def _prefill(self) -> tuple[int, float, list[EngineWork]]:
         sizes = self.sizes
-        left = sizes.chunk_tokens
-        room = sizes.max_batch - len(self._decoding)
+        budget = sizes.chunk_tokens
+        free_slots = sizes.max_batch - len(self._decoding)
         seconds = 0.0
         first: list[EngineWork] = []
-        for _, _, work in self._prefilling[: max(room, 0)]:
-            unread = work.prompt_tokens - work.prefilled
-            taken = min(left, work.chunk_tokens or left, unread)
-            seconds += taken * (
+        for _, _, work in self._prefilling[: max(free_slots, 0)]:
+            uncached = work.prompt_tokens - work.prefilled
+            chunk = min(budget, work.chunk_tokens or budget, uncached)
+            seconds += chunk * (
                 sizes.step_seconds_per_prefill_token
                 + work.prefilled * sizes.step_seconds_per_prefill_context
             )
-            work.prefilled += taken
-            left -= taken
+            work.prefilled += chunk
+            budget -= chunk
             if work.prefilled >= work.prompt_tokens:
                 work.generated += 1
                 first.append(work)
-            if not left:
+            if not budget:
                 break
         if first:
             self._prefilling = [
@@ -258,26 +258,26 @@
                 for item in self._prefilling
                 if item[2].prefilled < item[2].prompt_tokens
             ]
-        return sizes.chunk_tokens - left, seconds, first
+        return sizes.chunk_tokens - budget, seconds, first
 
-    def _measure(self, seconds: float, read_tokens: int) -> None:
-        weight = c.MEASURE_WEIGHT
+    def _update_rates(self, seconds: float, prefilled_tokens: int) -> None:
+        weight = c.RATE_SMOOTHING_FACTOR
         self.seconds_per_token += weight * (seconds - self.seconds_per_token)
-        if read_tokens:
-            # A step that reads few tokens tells of the step, not of the rate.
-            weight *= read_tokens / self.sizes.chunk_tokens
-            rate = read_tokens / seconds
+        if prefilled_tokens:
+            # A step with few prefill tokens is mostly fixed cost, so it counts less.
+            weight *= prefilled_tokens / self.sizes.chunk_tokens
+            rate = prefilled_tokens / seconds
             self.prefill_tokens_per_second += weight * (
                 rate - self.prefill_tokens_per_second
             )
 
-    def _finish_full(self, ids: tuple[str, ...]) -> tuple[str, ...]:
-        full = tuple(
+    def _finish_completed(self, ids: tuple[str, ...]) -> tuple[str, ...]:
+        completed = tuple(
             i for i in ids if self._work[i].generated >= self._work[i].max_tokens
         )
-        for work_id in full:
+        for work_id in completed:
             self.finish(work_id)
-        return full
+        return completed
 
     def _start_decoding(self, work: EngineWork) -> None:
         self._decoding[work.work_id] = work
@@ -289,6 +289,6 @@
             return
         self._prefilling = [item for item in self._prefilling if item[2] is not work]
 
-    def _hold(self, tokens: int) -> None:
+    def _adjust_held_tokens(self, tokens: int) -> None:
         self._held_tokens += tokens
         self.cache.shrink(self.free_kv_tokens)
--- a/libraries/standins/tarragonward_standins/fault_proxy.py
+++ b/libraries/standins/tarragonward_standins/fault_proxy.py
@@ -1,4 +1,4 @@
-"""Pass TCP through, and break it as told: delay, cut, drop mid-frame, freeze."""
+"""TCP proxy that injects faults: delay, packet loss, one-way loss, resets, pauses."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 __all__ = ["FaultProxy", "Faults"]
 
 READ_BYTES = 64 * 1024
-# What one connection sends over a thin link before the others have their turn.
+# Bytes that a connection sends over a rate-limited link before others get a turn.
 BANDWIDTH_SLICE_BYTES = 8 * 1024
-# How far a thin link catches up with a turn that a busy machine brought late. Without
-# it each late timer makes the link thinner than it was told to be.
+# How much timer lag the rate limit makes up for. Without it, each late timer on a busy
+# machine would lower the rate below bytes_per_second.
 MAX_BANDWIDTH_CATCH_UP_SECONDS = 0.25
-# A lost packet is sent again after this time, and what follows it waits.
+# A lost packet is retransmitted after this time; the data after it waits.
 RETRANSMIT_SECONDS = 0.2
 FROZEN_POLL_SECONDS = 0.01
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -27,14 +27,16 @@
 
 @dataclass
 class Faults:
-    """What goes wrong now; change it while the proxy runs.
-
-    cut_to_target and cut_to_caller swallow bytes of one direction (a one-way cut
-    leaves connections open); refuse ends connections at once; frozen holds bytes
-    until it is False again; drop_after_bytes ends a connection after that many bytes
-    towards the caller, within a frame if need be. lost_share is of packets, each of
-    which comes late. bytes_a_second is what all connections together carry towards
-    the callers, as one thin link does.
+    """The faults in effect; may be changed while the proxy runs.
+
+    blackhole_to_target, blackhole_to_caller: discard the bytes of one direction and
+        leave connections open.
+    refuse: close new connections at once.
+    frozen: hold all bytes until it is False again.
+    close_after_bytes: close a connection after this many bytes towards the caller,
+        even within a frame.
+    packet_loss_rate: the share of packets that arrive late, by a retransmission.
+    bytes_per_second: the rate towards the callers that all connections share.
     """
 
     delay_seconds: float = 0.0
@@ -49,13 +51,13 @@
 
 @dataclass(eq=False)
 class _Connection:
-    """One connection; a silent one passes nothing, not even its target's end."""
+    """One connection; a blackholed one relays nothing, not even the target's close."""
 
     is_blackholed: bool = False
 
 
 class FaultProxy:
-    """Stands on one address before one target."""
+    """Listens on an address and relays connections to one target."""
 
     def __init__(self, address: Address, target: Address, seed: int = 1) -> None:
         self.faults = Faults()
@@ -77,13 +79,13 @@
         return Address(*self._server.sockets[0].getsockname()[:2])
 
     async def async_setup(self) -> None:
-        """Start to pass connections through."""
+        """Start relaying connections."""
         self._server = await asyncio.start_server(
             self._async_accept, self._address.host, self._address.port
         )
 
     async def async_unload(self) -> None:
-        """Stop, and end all connections."""
+        """Stop and abort all connections."""
         if self._server is not None:
             self._server.close()
         self.abort_connections()
@@ -92,12 +94,12 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def abort_connections(self) -> None:
-        """Reset the connections that are open."""
+        """Abort the open connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     def blackhole_open_connections(self) -> None:
-        """Let the connections that are open go silent for good; new ones work."""
+        """Discard all further data of the open connections; new ones work."""
         for connection in self._connections:
             connection.is_blackholed = True
 
@@ -163,7 +165,7 @@
             was_frozen = faults.frozen
             await self._async_delay()
             if to_target and was_frozen and reader.at_eof():
-                # What a cut held up is lost with its sender's connection.
+                # Data held by a freeze is lost if its sender has closed the connection.
                 return
             is_discarded = (
                 faults.blackhole_to_target if to_target else faults.blackhole_to_caller
--- a/libraries/standins/tarragonward_standins/observe.py
+++ b/libraries/standins/tarragonward_standins/observe.py
@@ -1,4 +1,4 @@
-"""Look at a site from outside, as its balancer and its engines' operators do."""
+"""Observe a site from outside, as its load balancer and its operators do."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def make_prompt(name: str, min_tokens: int) -> str:
-    """Return a prompt whose answer does not stop before min_tokens tokens."""
+    """Return a prompt whose answer has at least min_tokens tokens."""
     for number in itertools.count():
         prompt = f"{name} {number}"
         if expect_answer(prompt, min_tokens).finish_reason == "length":
@@ -40,7 +40,7 @@
 
 
 async def async_read_load(address: Address) -> dict[str, Any] | None:
-    """Return an engine's load report, or None where it does not answer."""
+    """Return an engine's load report, or None if it does not answer."""
     try:
         answer = await async_send_http(address, "GET", "/v1/load", timeout=1.0)
         return answer.parse_json()
@@ -49,14 +49,14 @@
 
 
 async def async_wait_engines(site: Site) -> None:
-    """Wait until every engine answers; a site's setup waits for its hosts only."""
+    """Wait until every engine answers."""
     for address in site.engines.values():
         while await async_read_load(address) is None:
             await asyncio.sleep(POLL_SECONDS)
 
 
 async def async_wait_idle(site: Site, seconds: float) -> dict[str, Any]:
-    """Wait until no engine that answers holds anything; return what is still held."""
+    """Wait until all reachable engines are idle; return the reports of busy ones."""
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + seconds
     while True:
@@ -71,9 +71,9 @@
 
 
 async def async_insert_proxy(site: Site, engine: str, base: int = 0) -> FaultProxy:
-    """Publish a fault-injecting proxy as an engine's address, and wait for all hosts.
+    """Publish a fault proxy as an engine's address and wait until all hosts use it.
 
-    base is the configuration's number before it.
+    base is the configuration number that the patch applies to.
     """
     proxy = FaultProxy(site.new_address(), site.engines[engine])
     await proxy.async_setup()
@@ -90,9 +90,9 @@
 
 
 class Balancer:
-    """Send callers to the hosts whose health check passes, in turn.
+    """Chooses healthy hosts round-robin.
 
-    failure_domains holds those whose hosts it may choose; empty means all.
+    failure_domains limits the choice to the hosts of these domains; empty means all.
     """
 
     def __init__(self, site: Site) -> None:
@@ -103,17 +103,17 @@
         self._task: asyncio.Task[None] | None = None
 
     async def async_setup(self) -> None:
-        """Start to check."""
+        """Start the health checks."""
         self._task = asyncio.create_task(self._async_check_all())
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop the health checks."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def choose(self) -> SiteHost:
-        """Return the next healthy host; any host where none is healthy."""
+        """Return the next healthy host, or any host if none is healthy."""
         hosts = [
             host
             for host in (self._healthy or self._site.hosts).values()
@@ -122,8 +122,9 @@
         return hosts[next(self._next_index) % len(hosts)]
 
     async def _async_check_all(self) -> None:
-        # Each host is checked on its own. Symptom of waiting for the slowest check: a
-        # host that hangs puts off the word of one that leaves, beyond its notice.
+        # Each host is checked independently: with rounds that wait for the slowest
+        # check, a hanging host would delay noticing one that drains until after its
+        # drain notice.
         async with asyncio.TaskGroup() as group:
             for host in self._site.hosts.values():
                 group.create_task(self._async_check(host))
--- a/libraries/standins/tarragonward_standins/platform.py
+++ b/libraries/standins/tarragonward_standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: configuration service and host list."""
+"""Stand-in for the platform: configuration service and host list."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 class PlatformStandIn:
-    """Publishes a numbered snapshot, the log of patches, and the host list.
+    """Serves a numbered snapshot, the log of patches, and the host list.
 
-    Operators publish through it; hosts can only read and watch.
+    Operators publish patches; hosts only read and watch.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self.reads = 0
         self.is_configuration_down = False
         self.stale_at: int | None = None
-        self._first = build_state(0, 0, document)
+        self._initial_state = build_state(0, 0, document)
         self._changed = asyncio.Condition()
         self._server = HttpServer(address, self._async_handle)
 
@@ -48,11 +48,11 @@
         return self._server.address
 
     async def async_setup(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         await self._server.async_setup()
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop serving."""
         await self._server.async_unload()
 
     async def async_publish(self, base: int, operations: list[dict[str, Any]]) -> int:
@@ -75,7 +75,7 @@
             case "GET", "/v1/configuration/log":
                 after = int(request.query.get("after", "0"))
                 wait = float(request.query.get("wait", "0"))
-                await self._async_wait(after, min(wait, c.WATCH_SECONDS))
+                await self._async_wait(after, min(wait, c.MAX_WATCH_SECONDS))
                 await responder.async_send_json(200, self._list_entries(after))
             case "POST", "/v1/configuration/patches":
                 patch = orjson.loads(request.body)
@@ -95,7 +95,7 @@
     async def _async_send_hosts(
         self, request: HttpRequest, responder: Responder
     ) -> None:
-        """Send the host list, or only say that the reader's tag still fits."""
+        """Send the host list, or 304 if the reader's entity tag matches."""
         body = orjson.dumps({"hosts": self.hosts})
         tag = f'"{hashlib.sha256(body).hexdigest()[:16]}"'
         headers = {"content-type": "application/json", "etag": tag}
@@ -108,21 +108,23 @@
         await responder.async_send_bytes(200, body, headers)
 
     def _set_faults(self, faults: dict[str, Any]) -> None:
-        """Be down for the configuration, or show no more than its first entries."""
+        """Make the configuration unavailable, or cut its log at stale_at entries."""
         self.is_configuration_down = faults.get("configuration_down", False)
         self.stale_at = faults.get("stale_at")
 
-    def _get_shown_log(self) -> list[LogEntry]:
+    def _get_visible_log(self) -> list[LogEntry]:
         return self.log if self.stale_at is None else self.log[: self.stale_at]
 
     async def _async_wait(self, after: int, seconds: float) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds), self._changed:
-                await self._changed.wait_for(lambda: len(self._get_shown_log()) > after)
+                await self._changed.wait_for(
+                    lambda: len(self._get_visible_log()) > after
+                )
 
     def _build_snapshot(self) -> dict[str, Any]:
-        state = self._first
-        for entry in self._get_shown_log():
+        state = self._initial_state
+        for entry in self._get_visible_log():
             state, _ = apply_entry(state, entry)
         return {
             "sequence": state.sequence,
@@ -131,16 +133,16 @@
         }
 
     def _list_entries(self, after: int) -> dict[str, Any]:
-        shown = self._get_shown_log()
+        visible = self._get_visible_log()
         entries = [
             {
                 "sequence": entry.sequence,
                 "base": entry.base,
                 "operations": list(entry.operations),
             }
-            for entry in shown[after:]
+            for entry in visible[after:]
         ]
-        return {"latest": len(shown), "entries": entries}
+        return {"latest": len(visible), "entries": entries}
 
 
 def main() -> None:
--- a/libraries/standins/tarragonward_standins/platform_checker.py
+++ b/libraries/standins/tarragonward_standins/platform_checker.py
@@ -1,4 +1,4 @@
-"""Judge a played day from what clients and runners saw on their sockets."""
+"""Check the platform's rules against what clients and runners saw on their sockets."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class ConfigVersion:
-    """A version of the configuration: when it was acknowledged, what it allows."""
+    """A version of the configuration: its acknowledgement time and what it allows."""
 
     acknowledged_at: float
     services_by_prefix: Mapping[str, frozenset[str]]
@@ -52,7 +52,7 @@
 
 @dataclass
 class Checker:
-    """Find broken rules; each finding is the rule and a request."""
+    """Finds violations of the platform's rules, as pairs of rule and request."""
 
     requests: Iterable[ClientRequest]
     arrivals: Iterable[Arrival]
@@ -63,7 +63,7 @@
     violations: list[tuple[Rule, str]] = field(default_factory=list)
 
     def check(self) -> list[tuple[Rule, str]]:
-        """Return the findings."""
+        """Run all checks and return the violations."""
         by_id: dict[str, list[Arrival]] = defaultdict(list)
         for arrival in self.arrivals:
             by_id[arrival.request_id].append(arrival)
@@ -106,8 +106,8 @@
     ) -> None:
         seal = attempt.answer.get("x-response-seal", "")
         seals = {f"{a.runner_id}.{a.request_id}" for a in arrivals if a.status == 200}
-        is_mine = attempt.answer.get("x-request-id") == attempt.request_id
-        if seal not in seals or not is_mine:
+        is_own_answer = attempt.answer.get("x-request-id") == attempt.request_id
+        if seal not in seals or not is_own_answer:
             self._add_violation("MIXED", attempt.request_id)
         elif request.plan.kind != "stream":
             if attempt.body not in [a.body for a in arrivals]:
@@ -118,7 +118,7 @@
     ) -> None:
         plan, headers = request.plan, arrival.headers
         body_hash = hashlib.sha256(plan.body).hexdigest()
-        is_same = (
+        is_unchanged = (
             (arrival.method, arrival.target) == (plan.method, plan.path)
             and arrival.body_hash == body_hash
             and all(headers.get(n.lower()) == v for n, v in plan.headers)
@@ -128,7 +128,7 @@
             for version in self.config_versions
         }
         is_known = headers.get("x-tenant") in tenants - {None}
-        if not is_same or "x-key" in headers or not is_known:
+        if not is_unchanged or "x-key" in headers or not is_known:
             self._add_violation("UNASKED", attempt.request_id)
         allowed = {
             service
@@ -145,7 +145,8 @@
     def _check_config(self, request: ClientRequest, attempt: Attempt) -> None:
         if not (attempt.is_complete and attempt.status in DENIED_STATUSES):
             return
-        # Every version that may be in force while the request was under way allows it.
+        # The versions that may have been in force during the request. The denial is a
+        # violation only if all of them allow the request.
         ends = [
             version.acknowledged_at + CONFIG_APPLY_SECONDS
             for version in self.config_versions[1:]
@@ -181,7 +182,7 @@
             self._add_violation("ORDER", request.attempts[-1].request_id)
 
     def _check_tolerated(self, by_id: Mapping[str, list[Arrival]]) -> None:
-        """Check the rules that allow a few: GONE, LOST and answers held too long."""
+        """Check the rules that tolerate a few cases: GONE, LOST and late answers."""
         counts: Counter[Rule] = Counter()
         still_running = abandoned = held = timed_out = 0
         for request in self.requests:
@@ -217,7 +218,7 @@
             )
 
     def _check_crashes(self) -> None:
-        """Check that a request that crashes its runners is soon sent to none."""
+        """Check that a request that crashes runners is soon no longer sent."""
         by_request: dict[tuple[str, str, str], list[Arrival]] = defaultdict(list)
         for arrival in self.arrivals:
             account = arrival.headers.get("x-tenant", "")
@@ -235,7 +236,7 @@
                 )
 
     def _check_limit(self, period: RateLimitPeriod) -> None:
-        """Check what reached a runner from the hosts that it had told its limit."""
+        """Check the rate at a runner from hosts that were told of its limit."""
         hosts = {a.request_id: a.node for r in self.requests for a in r.attempts}
         informed_at: dict[object, float] = {}
         counted: list[float] = []
@@ -263,7 +264,7 @@
 
 
 def count_max_in_window(times: Sequence[float], seconds: float) -> int:
-    """Return the most of ordered times that lie in any span of so many seconds."""
+    """Return the maximum count of sorted times within any window of seconds."""
     most = first = 0
     for last, at in enumerate(times):
         while times[first] <= at - seconds:
@@ -273,7 +274,7 @@
 
 
 def find_crashed_runners(arrivals: Iterable[Arrival]) -> dict[str, float]:
-    """Return the runners that ended under one of the requests, and when each did."""
+    """Return the crash time of each runner that crashed during one of the requests."""
     ended: dict[str, float] = {}
     for arrival in arrivals:
         if arrival.runner_crashed_at is not None:
--- a/libraries/standins/tarragonward_standins/platform_clients.py
+++ b/libraries/standins/tarragonward_standins/platform_clients.py
@@ -1,4 +1,4 @@
-"""Play clients of the platform: attempts, retries and streams as published."""
+"""Clients of the platform, with attempts, retries and resumed streams as specified."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class RequestPlan:
-    """A request that a client is to make; times in seconds."""
+    """A request for a client to make; times in seconds."""
 
     route: str
     kind: str
@@ -52,7 +52,7 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt of a client, as its socket saw it; times are the loop's."""
+    """One attempt, as seen on the client's socket; times are the event loop's."""
 
     request_id: str
     node: Address
@@ -82,13 +82,13 @@
 
     @property
     def is_success(self) -> bool:
-        """Return whether the last attempt brought the whole answer."""
+        """Return whether the last attempt got the complete answer."""
         last = self.attempts[-1] if self.attempts else None
         return last is not None and last.is_complete and last.status // 100 == 2
 
     @property
     def is_late(self) -> bool:
-        """Return whether the answer, or a stream's first piece, came after its aim."""
+        """Return whether the answer, or a stream's first event, missed its aim."""
         first = self.first_event_at if self.plan.kind == "stream" else self.ended_at
         return first is None or first - self.began_at > self.plan.aim_seconds
 
@@ -101,7 +101,7 @@
 
 
 class PlatformClient:
-    """One client: a kept connection, and retries on new ones."""
+    """A client that keeps one connection alive and retries on new ones."""
 
     def __init__(self, choose_host: Callable[[], Address], key: str, seed: int) -> None:
         self._choose_host = choose_host
@@ -111,7 +111,7 @@
         self.requests: list[ClientRequest] = []
 
     async def async_request(self, plan: RequestPlan) -> ClientRequest:
-        """Make a request, with its retries, within its deadline."""
+        """Send a request, with retries, within its deadline."""
         loop = asyncio.get_running_loop()
         request = ClientRequest(plan, loop.time())
         self.requests.append(request)
@@ -126,23 +126,23 @@
         return request
 
     def close(self) -> None:
-        """Close the kept connection."""
+        """Close the idle connection."""
         if self._idle_connection is not None:
             self._idle_connection.writer.close()
             self._idle_connection = None
 
     def _compute_retry_delay(
-        self, plan: RequestPlan, attempt: Attempt, left: float
+        self, plan: RequestPlan, attempt: Attempt, remaining: float
     ) -> float | None:
-        """Return how long to wait before one more attempt, None for no more."""
-        if left <= 0 or attempt.has_disconnected:
+        """Return the delay before the next attempt, or None for no retry."""
+        if remaining <= 0 or attempt.has_disconnected:
             return None
         if attempt.is_complete:
             if attempt.status // 100 == 2 or attempt.status in FINAL_STATUSES:
                 return None
             if attempt.status in NOT_RUN_STATUSES:
                 retry_after = float(attempt.answer.get("retry-after", BACKOFF_SECONDS))
-                return min(retry_after, left / 3)
+                return min(retry_after, remaining / 3)
         if plan.may_repeat or not attempt.has_sent:
             return self._random.uniform(0, BACKOFF_SECONDS)
         return None
@@ -160,12 +160,12 @@
         if plan.disconnect_after_seconds is not None:
             leave_at = min(leave_at, attempt.sent_at + plan.disconnect_after_seconds)
         connection = None
-        is_kept = False
+        is_reusable = False
         try:
             async with asyncio.timeout_at(leave_at):
                 connection = await self._async_connect(attempt, is_new)
                 await self._async_send(connection, request, attempt, deadline)
-                is_kept = await self._async_read(connection, request, attempt)
+                is_reusable = await self._async_read(connection, request, attempt)
         except TimeoutError:
             attempt.has_disconnected = True
         except (OSError, ValueError, asyncio.IncompleteReadError):
@@ -173,11 +173,11 @@
         finally:
             attempt.ended_at = loop.time()
             if connection is not None:
-                self._keep_or_close(connection, is_kept)
+                self._release_connection(connection, is_reusable)
         return attempt
 
-    def _keep_or_close(self, connection: _Connection, is_kept: bool) -> None:
-        if is_kept and self._idle_connection is None:
+    def _release_connection(self, connection: _Connection, is_reusable: bool) -> None:
+        if is_reusable and self._idle_connection is None:
             self._idle_connection = connection
         else:
             connection.writer.transport.abort()
@@ -203,12 +203,12 @@
     ) -> None:
         plan = request.plan
         attempt.last_event_id = request.received_events.count(EVENT_END)
-        left = deadline - asyncio.get_running_loop().time()
+        remaining = deadline - asyncio.get_running_loop().time()
         headers = [
             ("Host", plan.host),
             ("X-Request-Id", attempt.request_id),
             *plan.headers,
-            ("X-Deadline-Ms", str(max(1, int(left * MILLISECONDS)))),
+            ("X-Deadline-Ms", str(max(1, int(remaining * MILLISECONDS)))),
             ("X-Key", self._key),
         ]
         if attempt.last_event_id:
@@ -260,7 +260,7 @@
             attempt.body += part[:size]
             attempt.first_event_at = attempt.first_event_at or now
             request.first_event_at = request.first_event_at or now
-            # Only whole events count; a part of one is asked for again.
+            # Only complete events count; a partial one is requested again.
             whole = attempt.body.rpartition(EVENT_END)
             request.received_events = earlier_events + whole[0] + whole[1]
 
--- a/libraries/standins/tarragonward_standins/platform_day.py
+++ b/libraries/standins/tarragonward_standins/platform_day.py
@@ -1,4 +1,4 @@
-"""Play a seeded mix of requests on a site and sum up what came of it."""
+"""Run a seeded mix of requests, called a day, on a site and report the results."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 EVENT_TOKENS = 46
 DRAFT_PROMPT_TOKENS = ((0.85, (1_000, 8_000)), (1.0, (20_000, 60_000)))
-# Beyond one engine's memory where a site's engines are small.
+# Larger than the memory of one engine, if a site's engines are small.
 HUGE_PROMPT_TOKENS = (90_000, 130_000)
 SHARED_PREFIX = "5c1e07a2:40"
 
 
 @dataclass(frozen=True)
 class DayPlan:
-    """How long a day is, how much is asked for, and how many clients ask."""
+    """The duration, request rates and number of clients of a day."""
 
     seconds: float = 5.0
     drafts_per_second: float = 12.0
@@ -35,7 +35,7 @@
 
 @dataclass
 class DayReport:
-    """The figures of a played day."""
+    """The results of a day."""
 
     score: Counter[str] = field(default_factory=Counter)
     violations: list[tuple[str, str]] = field(default_factory=list)
@@ -43,20 +43,20 @@
 
     @property
     def is_good(self) -> bool:
-        """Return whether all was served right, in time, and no rule broken."""
+        """Return whether all requests succeeded in time, without violations."""
         score = self.score
         bad = score["late"] + score["wrong"] + score["doubled"] + len(self.violations)
         return not bad and 0 < score["sent"] == score["whole"]
 
     def format_line(self) -> str:
-        """Return the last line of a demo."""
+        """Return the summary line of a demo."""
         names = ("sent", "whole", "late", "wrong", "doubled")
         figures = " ".join(f"{name}={self.score[name]}" for name in names)
         return f"{figures} broken_rules={len(self.violations)}"
 
 
 class PlatformDay:
-    """One day's clients and requests."""
+    """The clients and requests of one day."""
 
     def __init__(self, site: PlatformSite, plan: DayPlan) -> None:
         self._site = site
@@ -66,7 +66,7 @@
         self._prompt_count = 0
 
     async def async_play(self) -> DayReport:
-        """Send the day's requests, wait for their ends, and judge them."""
+        """Send the day's requests, wait until they end, and report."""
         loop = asyncio.get_running_loop()
         end_at = loop.time() + self._plan.seconds
         rate = self._plan.drafts_per_second + self._plan.calls_per_second
@@ -77,7 +77,7 @@
         return self.judge()
 
     def judge(self) -> DayReport:
-        """Return the figures of all requests so far."""
+        """Return the results of all requests so far."""
         report = DayReport(violations=self._site.check())
         for request in self._site.requests:
             self._count(report, request)
@@ -100,7 +100,7 @@
             report.score[f"status_{last.status}"] += 1
 
     async def _async_request(self, plan: RequestPlan) -> None:
-        # A client makes one request at a time; more of them come where all are busy.
+        # A client makes one request at a time; if all are busy, another one is added.
         client: PlatformClient = (
             self._idle_clients.pop(self._random.randrange(len(self._idle_clients)))
             if self._idle_clients
@@ -174,7 +174,7 @@
 
 
 def build_crashing_draft(rng: random.Random) -> RequestPlan:
-    """Return a prompt that ends each runner that begins to run it."""
+    """Return a prompt that crashes each runner that starts to run it."""
     return RequestPlan(
         "/draft/",
         "stream",
--- a/libraries/standins/tarragonward_standins/platform_engine.py
+++ b/libraries/standins/tarragonward_standins/platform_engine.py
@@ -1,4 +1,8 @@
-"""Model a runner's passes as the platform publishes them, without I/O."""
+"""Model of a runner's passes as the platform specifies them, without I/O.
+
+A pass is one batched iteration: it prefills chunks of prompts and decodes stride tokens
+of each running request.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 
 @dataclass(frozen=True)
 class PassSizes:
-    """The published constants, in the units of the page."""
+    """The engine parameters that the platform publishes, in its units."""
 
     slots: int = 8
     memory_tokens: int = 450_000
@@ -28,17 +32,17 @@
     hop_ms: float = 0.1
 
     def compute_prefill_ms(self, tokens: int, pairs: float) -> float:
-        """Return how long so many tokens with so many pairs take to read."""
+        """Return the time to prefill tokens with this many attention pairs."""
         by_tokens = tokens / self.read_per_s * MILLISECONDS
         return by_tokens + pairs / 1e6 * self.pairs_per_m
 
 
 @dataclass(eq=False)
 class PassWork:
-    """One request on an engine, or a part of one that is read for another engine.
+    """One request on an engine, or a part of a prompt prefilled for another engine.
 
-    A part holds tickets' memory and never writes here; waits_for counts the parts that
-    other engines still read for a request.
+    A part uses reserved memory and is never decoded here. pending_parts counts the
+    parts of this request that other engines have not prefilled yet.
     """
 
     id: str
@@ -57,22 +61,22 @@
 
     @property
     def local_tokens(self) -> int:
-        """Return the prompt tokens that this engine reads."""
+        """Return the prompt tokens that this engine prefills."""
         return self.prompt_tokens if self.part_tokens is None else self.part_tokens
 
     @property
     def is_split(self) -> bool:
-        """Return whether several engines read the prompt."""
+        """Return whether several engines prefill the prompt."""
         return self.local_tokens < self.prompt_tokens
 
     @property
     def is_prefilled(self) -> bool:
-        """Return whether this engine has read its tokens."""
+        """Return whether this engine has prefilled its tokens."""
         return self.prefilled_tokens >= self.local_tokens
 
     @property
     def is_decoding(self) -> bool:
-        """Return whether the answer is being written."""
+        """Return whether the answer is being decoded."""
         return (
             self.is_prefilled
             and not (self.is_part or self.pending_parts)
@@ -81,12 +85,12 @@
 
     @property
     def memory_tokens(self) -> int:
-        """Return the memory held besides tickets."""
+        """Return the memory held outside of reservations."""
         held = self.prefilled_tokens + self.generated_tokens - self.reserved_tokens
         return max(0, held)
 
     def count_attention_pairs(self, tokens: int) -> float:
-        """Return the pairs of the next tokens with those before them."""
+        """Return the attention pairs of the next tokens with those before them."""
         if self.is_split:
             return tokens * self.prompt_tokens / 2
         end = self.prefilled_tokens + tokens
@@ -95,7 +99,7 @@
 
 @dataclass
 class Reservation:
-    """Memory set aside under a lease; waiting while it is not free."""
+    """Memory reserved under a lease; waiting until enough is free."""
 
     id: str
     tokens: int
@@ -107,7 +111,7 @@
 
 @dataclass
 class PassResult:
-    """A pass: how long it takes, who writes how many tokens, which parts are read."""
+    """A pass: its duration, the tokens decoded by request, and the prefilled ones."""
 
     seconds: float
     decoded: list[tuple[PassWork, int]] = field(default_factory=list)
@@ -116,7 +120,7 @@
 
 
 class PassEngine:
-    """Waiting and running requests, memory, tickets and the passes that serve them."""
+    """An engine's queue, running requests, memory, reservations and passes."""
 
     def __init__(self, sizes: PassSizes, pace: float = 1.0) -> None:
         self.sizes = sizes
@@ -128,7 +132,7 @@
 
     @property
     def held_tokens(self) -> int:
-        """Return the memory that cannot yield."""
+        """Return the memory in use or reserved."""
         return sum(work.memory_tokens for work in self.running) + sum(
             reservation.tokens
             for reservation in self.reservations.values()
@@ -137,16 +141,16 @@
 
     @property
     def free_tokens(self) -> int:
-        """Return the memory that nothing holds."""
+        """Return the free memory."""
         return self.sizes.memory_tokens - self.held_tokens
 
     @property
     def has_work(self) -> bool:
-        """Return whether a pass would do anything."""
+        """Return whether there is work for a pass."""
         return bool(self.waiting) or any(self._list_active())
 
     def add(self, work: PassWork) -> None:
-        """Queue a request; a part is read at once, ahead of other reads."""
+        """Queue a request; a part runs at once and is prefilled first."""
         self._last_order += 1
         work.order = self._last_order
         if work.is_part:
@@ -157,16 +161,16 @@
             self.waiting.sort(key=lambda w: (w.urgency, w.order))
 
     def remove(self, work: PassWork) -> None:
-        """Drop a request wherever it stands."""
+        """Remove a request, queued or running."""
         for works in (self.waiting, self.running):
             if work in works:
                 works.remove(work)
 
     def begin_pass(self) -> PassResult:
-        """Admit what fits, and return the pass that begins now.
+        """Admit requests and return the pass that starts now.
 
-        Preempted requests are back in the queue; the caller of this applies the
-        result at the pass's end, by end_pass.
+        Preempted requests return to the queue. The caller passes the result to end_pass
+        at the end of the pass.
         """
         result = PassResult(0.0)
         self._preempt(result)
@@ -183,9 +187,9 @@
         return result
 
     def end_pass(self, result: PassResult) -> list[PassWork]:
-        """Take in what a pass did; return the requests that are read through now.
+        """Apply the result of a pass; return the requests that are fully prefilled.
 
-        A request whose prompt is read writes its first token at the pass's end.
+        Such a request generates its first token at the end of the pass.
         """
         for work, tokens in result.decoded:
             work.generated_tokens += tokens
@@ -194,7 +198,7 @@
     def reserve(
         self, reservation_id: str, tokens: int, hold: float, wait: bool, now: float
     ) -> int:
-        """Set memory aside; return the status of the order."""
+        """Reserve memory; return the HTTP status of the order."""
         self.expire(now)
         existing = self.reservations.get(reservation_id)
         if existing is not None:
@@ -212,11 +216,11 @@
         return 200 if fits else 202
 
     def release(self, reservation_id: str) -> None:
-        """End a reservation; requests that use it are cut off by their runner."""
+        """Remove a reservation; the runner ends the requests that use it."""
         self.reservations.pop(reservation_id, None)
 
     def expire(self, now: float) -> list[Reservation]:
-        """Drop the reservations whose lease is over, and grant those that wait."""
+        """Remove expired reservations and grant waiting ones in order."""
         expired = [t for t in self.reservations.values() if t.expires_at <= now]
         for reservation in expired:
             del self.reservations[reservation.id]
@@ -255,7 +259,7 @@
                 return
             newest = max(own, key=lambda work: work.order)
             self.running.remove(newest)
-            # What was written is read again together with the prompt.
+            # The prompt is prefilled again, and the generated tokens with it.
             newest.prefilled_tokens, newest.is_running = 0, False
             self.waiting.insert(0, newest)
             result.preempted.append(newest)
@@ -287,10 +291,10 @@
 
 
 def _get_prefill_order(work: PassWork) -> tuple[bool, int, int]:
-    """Return the place of a read: shares of joint prompts first, the newest of them.
+    """Return the sort key for prefill: parts of split prompts first, newest first.
 
-    The page says that parts go ahead of other reads. That the newest goes ahead of
-    older ones, and the first engine's own share with them, is as the runners did it.
+    The platform specifies only that parts go first. That newer parts precede older
+    ones, and that the leader's own part counts among them, is how its runners behave.
     """
     if work.is_split:
         return False, 0, -work.order
--- a/libraries/standins/tarragonward_standins/platform_http.py
+++ b/libraries/standins/tarragonward_standins/platform_http.py
@@ -1,4 +1,4 @@
-"""Read requests and write answers byte by byte, for stand-ins that misbehave."""
+"""Minimal HTTP/1.1 server on raw streams, for stand-ins that send invalid answers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass
 class PlainRequest:
-    """A request as it stands on the wire; header names in lower case."""
+    """A request as received; header names are in lower case."""
 
     method: str
     target: str
@@ -36,7 +36,7 @@
 
     @property
     def query(self) -> dict[str, str]:
-        """Return the query's fields."""
+        """Return the query parameters."""
         return dict(parse_qsl(self.target.partition("?")[2]))
 
 
@@ -84,10 +84,10 @@
 
 @dataclass(eq=False)
 class PlainServer:
-    """Serve one request after the other on each connection.
+    """Serves requests sequentially on each connection.
 
-    The handler returns whether the connection is kept. It is cancelled when the caller
-    closes, as most targets stop work then.
+    The handler returns whether to keep the connection open. It is cancelled when the
+    client disconnects, as most targets stop work then.
     """
 
     handler: Handler
@@ -104,14 +104,14 @@
         return Address(self.host, self.port)
 
     async def async_setup(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(
             self._async_serve, self.host, self.port, backlog=BACKLOG
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def async_unload(self) -> None:
-        """Stop to listen, and reset what is open."""
+        """Stop listening and reset open connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
--- a/libraries/standins/tarragonward_standins/platform_model_runner.py
+++ b/libraries/standins/tarragonward_standins/platform_model_runner.py
@@ -1,4 +1,4 @@
-"""Stand in for a model runner: streams by passes, reports with lag, reservations."""
+"""Stand-in for a model runner: streams, delayed load reports and reservations."""
 
 from __future__ import annotations
 
@@ -38,21 +38,25 @@
 
 
 def build_stream_event(prompt_id: str, number: int, is_last: bool) -> bytes:
-    """Return one event of the answer to a subject, the same from every runner."""
+    """Return one event of the answer to a prompt, the same from every runner."""
     end = " end" if is_last else ""
     return f"id: {number}\ndata: {prompt_id} {number}{end}\n\n".encode()
 
 
 @dataclass(frozen=True)
 class _StreamFailure:
-    """A stream cannot go on; at_server is the runner at fault where there is one."""
+    """A stream cannot continue; failed_runner is the address of the cause, if any."""
 
     failed_runner: str = ""
 
 
 @dataclass(eq=False)
 class _Stream:
-    """A request at the engine: its events (is it the last?), and its helpers' parts."""
+    """A request on the engine and its parts on other engines.
+
+    Each item of events tells whether the event is the last one, or that the stream
+    failed.
+    """
 
     work: PassWork
     events: asyncio.Queue[bool | _StreamFailure] = field(default_factory=asyncio.Queue)
@@ -61,7 +65,7 @@
 
 
 class ModelRunner(PlatformRunner):
-    """A runner whose answers are streams, written in passes."""
+    """A runner that streams answers as its engine's passes generate them."""
 
     def __init__(
         self,
@@ -91,14 +95,14 @@
         self.route("POST", "/order", self._async_handle_order)
 
     async def async_setup(self) -> None:
-        """Listen, register and begin to work through passes."""
+        """Listen, register and start running passes."""
         await super().async_setup()
         self._runners_by_address[str(self.address)] = self
         self._pass_task = asyncio.create_task(self._async_run_passes())
         self._report_task = asyncio.create_task(self._async_record_reports())
 
     async def async_unload(self) -> None:
-        """Leave at once."""
+        """Stop at once."""
         for task in (self._pass_task, self._report_task):
             if task is not None:
                 task.cancel()
@@ -108,12 +112,12 @@
         }:
             if runner is not self:
                 runner._stall(work, str(self.address))
-        self.reservation_log.note((), asyncio.get_running_loop().time())
+        self.reservation_log.update((), asyncio.get_running_loop().time())
         self._runners_by_address.pop(str(self.address), None)
         await super().async_unload()
 
     def is_full(self) -> bool:
-        """Return whether one more request would find no place in the queue."""
+        """Return whether the queue is full."""
         return len(self.engine.waiting) >= self.plan.queue
 
     async def async_run(
@@ -123,7 +127,7 @@
         fault: str,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Read the prompt and stream the answer."""
+        """Queue the prompt and stream the answer."""
         stream = self._build_stream(request)
         if stream is None:
             self._record_end_of_use(request)
@@ -177,7 +181,7 @@
         parts = len(helpers) + 1
         share = -(-work.prompt_tokens // parts)
         work.part_tokens = share
-        # What the tickets do not hold is stored here.
+        # What the reservations do not cover uses memory of this engine.
         work.reserved_tokens = min(share, reserved)
         work.pending_parts = len(helpers)
         work.hop_ms = self.engine.sizes.hop_ms if helpers else 0.0
@@ -218,17 +222,17 @@
                 runner._reservation_users.pop(reservation_id, None)
 
     def change_weights(self) -> None:
-        """Load the next version; streams tell of it at their next event."""
+        """Load the next weights version; streams announce it with their next event."""
         self.weights_version += 1
 
     def _record_use(self, reservation_id: str, request_id: str) -> None:
-        self.reservation_log.note(self.engine.reservations.values(), self._now())
+        self.reservation_log.update(self.engine.reservations.values(), self._now())
         record = self.reservation_log.get(reservation_id)
         if record is not None:
             record.begin_use(request_id)
 
     def _record_end_of_use(self, request: PlainRequest) -> None:
-        """Note that a request has ended or was rejected, whatever it got of them."""
+        """Record the end of a request with each reservation that it named."""
         for entry in request.headers.get("x-helpers", "").split(","):
             address, _, reservation_id = entry.strip().partition("/")
             runner = self._runners_by_address.get(address)
@@ -242,7 +246,7 @@
 
     def _expire(self) -> None:
         expired = self.engine.expire(self._now())
-        self.reservation_log.note(self.engine.reservations.values(), self._now())
+        self.reservation_log.update(self.engine.reservations.values(), self._now())
         for reservation in expired:
             self._fail_reservation_user(reservation.id)
 
@@ -253,7 +257,7 @@
             runner._fail_stream(work, _StreamFailure())
 
     def _stall(self, work: PassWork, failed_runner: str) -> None:
-        """Let work that depends on a dead runner stand still, then end it."""
+        """Stall a request that depends on a dead runner, then fail it."""
         work.pending_parts += 1
         asyncio.get_running_loop().call_later(
             STALL_SECONDS, self._fail_stream, work, _StreamFailure(failed_runner)
@@ -345,7 +349,7 @@
                 await self._work_added.wait()
                 next_at = loop.time()
             result = self.engine.begin_pass()
-            # Sleeps end late; counting from the last pass's end keeps the model's pace.
+            # Sleeps overrun; scheduling from the previous pass's end keeps the pace.
             next_at = max(next_at + max(result.seconds, 0.0005), loop.time() - 0.05)
             await asyncio.sleep(next_at - loop.time())
             for work, tokens in result.decoded:
--- a/libraries/standins/tarragonward_standins/platform_runner.py
+++ b/libraries/standins/tarragonward_standins/platform_runner.py
@@ -1,4 +1,7 @@
-"""Stand in for a runner of the platform: registration, answers, faults, a journal."""
+"""Stand-in for a runner of the platform: registration, answers and faults.
+
+Each request that arrives is recorded for the checker.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
     "RunnerPlan",
 ]
 
-# A request whose body begins so ends each runner that begins to run it.
+# A request whose body starts with this crashes each runner that runs it.
 CRASH_PREFIX = b"crash:"
 
 MILLISECONDS = 1_000
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True)
 class RunnerPlan:
-    """What a runner is; times in seconds."""
+    """Configuration of a runner; times in seconds."""
 
     service: str
     zone: str
@@ -60,7 +63,7 @@
 
 @dataclass
 class RunnerFaults:
-    """Shares of requests that meet a fault; at most one befalls a request."""
+    """Probability of each fault; a request meets at most one."""
 
     error: float = 0.0
     shed: float = 0.0
@@ -73,7 +76,7 @@
     reset: float = 0.0
 
     def draw(self, rng: random.Random) -> str:
-        """Return the name of the fault that a request meets, or an empty string."""
+        """Return the name of the fault to inject, or an empty string."""
         number = rng.random()
         for name, share in vars(self).items():
             number -= share
@@ -84,7 +87,7 @@
 
 @dataclass(eq=False)
 class Arrival:
-    """A request that reached a runner, and what became of it there."""
+    """A request that reached a runner, and its outcome there."""
 
     request_id: str
     runner_id: str
@@ -100,15 +103,15 @@
     status: int = 0
     body: bytes = field(default=b"", repr=False)
     is_aborted: bool = False
-    # When the runner ended under the request.
+    # When the runner crashed during the request.
     runner_crashed_at: float | None = None
-    # When an answer that names a limit was begun.
+    # When an answer that announces a rate limit was sent.
     limit_announced_at: float | None = None
 
 
 @dataclass
 class RateLimitPeriod:
-    """A time in which a runner named a limit, in requests a second."""
+    """A period in which a runner announced a limit, in requests per second."""
 
     runner_id: str
     rate: float
@@ -117,7 +120,7 @@
 
 
 class PlatformRunner:
-    """One boot of a plain service's runner; model runners build on it."""
+    """One incarnation of a plain service's runner; the base of model runners."""
 
     def __init__(
         self, plan: RunnerPlan, store: PlatformStore, arrivals: ArrivalLog, seed: int
@@ -150,11 +153,11 @@
 
     @property
     def address(self) -> Address:
-        """Return the address that it is reached at, through its link."""
+        """Return the published address, that of its fault proxy."""
         return self._address
 
     async def async_setup(self) -> None:
-        """Listen and register."""
+        """Start listening and send heartbeats."""
         await self._server.async_setup()
         self.proxy = FaultProxy(self._address, self._server.address)
         await self.proxy.async_setup()
@@ -162,7 +165,7 @@
         self._heartbeat_task = asyncio.create_task(self._async_send_heartbeats())
 
     async def async_unload(self) -> None:
-        """Leave at once, as a crash does; the registration stays for three beats."""
+        """Stop at once, as in a crash; the registration stays."""
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
         await self._server.async_unload()
@@ -170,7 +173,7 @@
             await self.proxy.async_unload()
 
     async def async_drain(self, serve_seconds: float) -> None:
-        """Say that it is draining, serve on, and be gone."""
+        """Register as draining, serve for serve_seconds, then stop and deregister."""
         self.is_draining = True
         self.withdrawn_at = asyncio.get_running_loop().time()
         self._register()
@@ -179,7 +182,7 @@
         self._store.delete(f"servers/{self.id}")
 
     async def async_crash(self) -> None:
-        """Be gone without a word; the store drops it after some silent beats."""
+        """Stop without notice; the registration expires after missed heartbeats."""
         await self.async_unload()
         await asyncio.sleep(
             self.plan.heartbeat_seconds * MISSED_HEARTBEATS_UNTIL_REMOVAL
@@ -188,7 +191,7 @@
         self._store.delete(f"servers/{self.id}")
 
     def set_rate_limit(self, rate: float | None) -> None:
-        """Name a limit in all answers from now on, or none."""
+        """Announce a rate limit in all answers from now on, or none."""
         now = asyncio.get_running_loop().time()
         for period in self.limits:
             period.ended_at = min(period.ended_at, now)
@@ -204,7 +207,7 @@
         return (("Server-Limit", f"{period.rate:g}"),)
 
     def crash_during(self, arrival: Arrival) -> None:
-        """End under a request; all else that is in progress here is lost with it."""
+        """Crash during a request; all other requests in progress are lost too."""
         arrival.runner_crashed_at = asyncio.get_running_loop().time()
         arrival.is_aborted = True
         if self._crash_task is None:
@@ -218,7 +221,7 @@
         path: str,
         handler: Callable[[PlainRequest, asyncio.StreamWriter], Awaitable[bool]],
     ) -> None:
-        """Handle a path apart from the requests of routes."""
+        """Register a handler for a path that is not a route's request."""
         self._handlers[method, path] = handler
 
     async def _async_send_heartbeats(self) -> None:
@@ -263,7 +266,7 @@
             arrival.ended_at = asyncio.get_running_loop().time()
 
     def is_full(self) -> bool:
-        """Return whether one more request would find no place."""
+        """Return whether the queue is full."""
         return self.waiting >= self.plan.queue
 
     async def async_run(
@@ -273,7 +276,7 @@
         fault: str,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Run a request and answer it; return whether the connection is kept."""
+        """Run and answer a request; return whether to keep the connection open."""
         self.waiting += 1
         try:
             async with self._slots:
@@ -321,7 +324,7 @@
     def build_answer_head(
         self, arrival: Arrival, framing: tuple[tuple[str, str], ...]
     ) -> bytes:
-        """Return the sealed head of an answer to a request."""
+        """Return the head of an answer, with its response seal."""
         load = f"{self.active},{self.waiting},{self.plan.slots}"
         headers = [
             ("X-Request-Id", arrival.request_id),
@@ -385,7 +388,7 @@
     def write_json(
         self, writer: asyncio.StreamWriter, status: int, payload: Any
     ) -> bool:
-        """Write a document; return that the connection is kept."""
+        """Write a JSON answer; return True, as the connection stays open."""
         body = orjson.dumps(payload)
         length = ("Content-Length", str(len(body)))
         writer.write(build_head(status, [JSON_TYPE, length]) + body)
--- a/libraries/standins/tarragonward_standins/platform_settings.py
+++ b/libraries/standins/tarragonward_standins/platform_settings.py
@@ -1,4 +1,4 @@
-"""Fill in a host's settings template as the platform does."""
+"""Render a host's settings template as the platform does."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 __all__ = ["render_settings"]
 
 TAG = re.compile(r"\{\{\s*([#^/]?)\s*([^}|\s]+)\s*(\|json)?\s*\}\}")
-LAST_MARK = ","
+SEPARATOR = ","
 
 
 def render_settings(template: str, fields: Mapping[str, Any]) -> str:
-    """Return a template with its placeholders and sections filled in."""
+    """Render a template's placeholders and sections."""
     return _render(template, [fields], {})
 
 
-def _render(template: str, scopes: Sequence[Any], marks: Mapping[str, Any]) -> str:
+def _render(template: str, scopes: Sequence[Any], specials: Mapping[str, Any]) -> str:
     out: list[str] = []
     position = 0
     while (tag := TAG.search(template, position)) is not None:
@@ -27,11 +27,11 @@
         position = tag.end()
         if kind in ("#", "^"):
             end = _find_end(template, name, position)
-            inner = template[position : end.start()]
-            out.append(_render_section(kind, name, inner, scopes, marks))
+            body = template[position : end.start()]
+            out.append(_render_section(kind, name, body, scopes, specials))
             position = end.end()
         else:
-            out.append(_format(_look_up(name, scopes, marks), bool(is_json)))
+            out.append(_format(_look_up(name, scopes, specials), bool(is_json)))
     out.append(template[position:])
     return "".join(out)
 
@@ -49,32 +49,32 @@
 
 
 def _render_section(
-    kind: str, name: str, inner: str, scopes: Sequence[Any], marks: Mapping[str, Any]
+    kind: str, name: str, body: str, scopes: Sequence[Any], specials: Mapping[str, Any]
 ) -> str:
-    value = _look_up(name, scopes, marks)
+    value = _look_up(name, scopes, specials)
     if kind == "^":
         is_absent = value is None or value is False
-        return _render(inner, scopes, marks) if is_absent else ""
+        return _render(body, scopes, specials) if is_absent else ""
     if isinstance(value, Mapping):
         entries = list(value.items())
     elif isinstance(value, list):
         entries = list(enumerate(value))
     else:
-        is_there = value is not None and value is not False
-        return _render(inner, scopes, marks) if is_there else ""
+        is_present = value is not None and value is not False
+        return _render(body, scopes, specials) if is_present else ""
     return "".join(
         _render(
-            inner,
+            body,
             [entry, *scopes],
-            {".": entry, "@": key, LAST_MARK: "," if n < len(entries) - 1 else ""},
+            {".": entry, "@": key, SEPARATOR: "," if n < len(entries) - 1 else ""},
         )
         for n, (key, entry) in enumerate(entries)
     )
 
 
-def _look_up(name: str, scopes: Sequence[Any], marks: Mapping[str, Any]) -> Any:
-    if name in marks:
-        return marks[name]
+def _look_up(name: str, scopes: Sequence[Any], specials: Mapping[str, Any]) -> Any:
+    if name in specials:
+        return specials[name]
     if name == ".":
         return scopes[0]
     for scope in scopes:
--- a/libraries/standins/tarragonward_standins/platform_site.py
+++ b/libraries/standins/tarragonward_standins/platform_site.py
@@ -1,4 +1,4 @@
-"""Start a small deployment of the platform: store, runners, and real entry hosts."""
+"""Run a small deployment of the platform: store, runners and real entry hosts."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 FAILED_CHECKS_UNTIL_REMOVAL = 2
 SETUP_SECONDS = 30.0
 STOP_SECONDS = 12.0
-# A runner that crashed is back, as another boot, after so long.
+# A crashed runner is replaced by a new incarnation after a delay in this range.
 CRASH_RESTART_SECONDS = (1.5, 3.0)
 MODEL_SERVICE = "llm"
 PLAIN_SERVICE = "app"
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class PlatformPlan:
-    """What a deployment has; zones get hosts, model runners and plain runners each."""
+    """Size of a deployment; each zone gets hosts, model runners and plain runners."""
 
     zones: tuple[str, ...] = ("a", "b", "c")
     hosts_per_zone: int = 1
@@ -90,7 +90,7 @@
 
 @dataclass
 class PlatformHost:
-    """An entry host's addresses, its own door of the store, and its process."""
+    """An entry host's addresses, its own endpoint of the store, and its process."""
 
     name: str
     zone: str
@@ -105,12 +105,12 @@
 
     @property
     def is_in_rotation(self) -> bool:
-        """Return whether the balancer sends new connections there."""
+        """Return whether the load balancer sends new connections to it."""
         return self.failed_checks < FAILED_CHECKS_UNTIL_REMOVAL
 
 
 class PlatformSite:
-    """One deployment; what clients and runners saw is kept for the checker."""
+    """A deployment; records what clients and runners saw for the checker."""
 
     def __init__(self, folder: Path, plan: PlatformPlan, template: Path) -> None:
         self.plan = plan
@@ -134,7 +134,7 @@
         self._ports: list[int] = []
 
     async def async_setup(self) -> None:
-        """Start all, and wait until every host is ready."""
+        """Start everything and wait until every host is ready."""
         self.publish(list(ROUTES))
         for zone in self.plan.zones:
             for _ in range(self.plan.models_per_zone):
@@ -153,7 +153,7 @@
         self._balancer_task = asyncio.create_task(self._async_balance())
 
     async def async_unload(self) -> None:
-        """End all that was started."""
+        """Stop everything."""
         if self._balancer_task is not None:
             self._balancer_task.cancel()
         for task in self._replacement_tasks:
@@ -169,7 +169,7 @@
         await self.store.async_unload()
 
     def publish(self, routes: list[dict[str, Any]]) -> None:
-        """Write the next version of the configuration; the store acknowledges it."""
+        """Write the next version of the configuration to the store."""
         self.version += self.random.randint(1, 3)
         services = [self._describe_model_service(), self._describe_plain_service()]
         tenants = [{"name": n, "apiKeys": [k]} for n, k in self.tenants.items()]
@@ -192,7 +192,7 @@
         self.config_versions.append(ConfigVersion(now, by_prefix, by_key))
 
     def check(self) -> list[tuple[str, str]]:
-        """Return the broken rules of all that was seen so far."""
+        """Return the violations found in all requests so far."""
         tickets = [r for model in self.models for r in model.reservation_log.records]
         now = asyncio.get_running_loop().time()
         limits = [period for runner in self._runners for period in runner.limits]
@@ -206,7 +206,7 @@
         return [request for client in self.clients for request in client.requests]
 
     def add_client(self, zone: str | None = None) -> PlatformClient:
-        """Return a new client; the balancer chooses its host at each connection."""
+        """Add a client; the balancer chooses a host for each of its connections."""
         key = self.random.choice(list(self.tenants.values()))
         client = PlatformClient(
             lambda: self._choose_front(zone), key, next(self._seeds)
@@ -254,7 +254,7 @@
             self.plain.append(await self.async_add_plain(crashed.plan.zone))
 
     async def async_start_host(self, host: PlatformHost) -> None:
-        """Start a host's process with its settings rendered anew."""
+        """Render a host's settings and start its process."""
         host.settings.write_text(
             render_settings(self._template, self._build_settings_fields(host)),
             encoding="utf-8",
@@ -279,7 +279,7 @@
         await host.process.wait()
 
     def read_log(self, host: PlatformHost) -> str:
-        """Return what a host has logged."""
+        """Return a host's log."""
         return (self._folder / f"{host.name}.log").read_text(encoding="utf-8")
 
     def _choose_front(self, zone: str | None) -> Address:
@@ -308,7 +308,7 @@
         name = f"front-{zone}-{number + 1}"
         ip = _build_ip(len(self.hosts))
         if not self._ports:
-            # Hosts take their peers' ports for their own.
+            # All hosts must use the same ports.
             count = len(self.plan.zones) * self.plan.hosts_per_zone
             self._ports = _find_ports([_build_ip(n) for n in range(count)], 4)
         front, ready, control, peer = self._ports
@@ -392,14 +392,14 @@
 
 
 def _build_ip(index: int) -> str:
-    # Sites of other processes have other addresses: a port that is free on some of
-    # them now may be taken by one of theirs before a host listens.
+    # Each process uses its own loopback addresses: on shared ones, another site could
+    # take a free port before a host listens on it.
     high, low = divmod(os.getpid(), 1 << 8)
     return f"127.{high % 127 + 1}.{low}.{index + 1}"
 
 
 def _find_ports(ips: list[str], count: int) -> list[int]:
-    """Return ports that are free at all of these addresses."""
+    """Return ports that are free on all of these addresses."""
     found: list[int] = []
     with ExitStack() as stack:
         while len(found) < count:
@@ -419,7 +419,7 @@
 
 
 def describe_route(name: str, kind: str, service: str, **fields: Any) -> dict[str, Any]:
-    """Return a route's document; fields go before the usual ones."""
+    """Return a route's document; fields override the defaults."""
     return {
         "name": name,
         "host": HOST_NAME,
--- a/libraries/standins/tarragonward_standins/platform_store.py
+++ b/libraries/standins/tarragonward_standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's metadata store, with its troubles."""
+"""Stand-in for the platform's metadata store, with faults."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class StoreFault(Enum):
-    """What befalls calls to the store."""
+    """A fault that affects calls to the store."""
 
     NONE = "none"
     REFUSES = "503 for all"
@@ -64,7 +64,7 @@
 
 @dataclass(eq=False)
 class StoreEndpoint:
-    """An address of the store; a machine that has one of its own can be refused."""
+    """An address of the store, with faults of its own; each host has one."""
 
     store: PlatformStore
     fault: StoreFault = StoreFault.NONE
@@ -76,17 +76,17 @@
 
     @property
     def address(self) -> Address:
-        """Return the address in use, that of its link."""
+        """Return the address of its fault proxy."""
         return self.proxy.address
 
     async def async_setup(self) -> None:
-        """Listen."""
+        """Start listening."""
         await self.server.async_setup()
         self.proxy = FaultProxy(Address(self.server.host, 0), self.server.address)
         await self.proxy.async_setup()
 
     async def async_unload(self) -> None:
-        """Close the address."""
+        """Stop listening."""
         await self.server.async_unload()
         await self.proxy.async_unload()
 
@@ -131,7 +131,7 @@
 
 
 class PlatformStore:
-    """Keys with one revision counter; operators and targets write, hosts read."""
+    """Key-value store with a revision counter and a change history to watch."""
 
     def __init__(self, seed: int = 1, reads_per_second: float = 2_000.0) -> None:
         self.random = random.Random(seed)
@@ -155,14 +155,14 @@
         }
 
     async def async_add_endpoint(self) -> StoreEndpoint:
-        """Listen on one more address."""
+        """Listen on another address."""
         endpoint = StoreEndpoint(self)
         await endpoint.async_setup()
         self._endpoints.append(endpoint)
         return endpoint
 
     async def async_unload(self) -> None:
-        """Close all addresses."""
+        """Stop listening on all addresses."""
         for endpoint in self._endpoints:
             await endpoint.async_unload()
 
@@ -175,13 +175,13 @@
         return self.revision
 
     def delete(self, key: str) -> None:
-        """Remove a key; a tombstone tells those who watch."""
+        """Remove a key; watchers get a tombstone."""
         if key in self._items:
             self.revision += 1
             self._record(_Item(key, self.revision, 0, None))
 
     def drop_history(self) -> None:
-        """Forget all changes: whoever watches from before now hears 410."""
+        """Drop the change history; watches from an earlier revision get 410."""
         self._history.clear()
         self._history_from = self.revision
 
@@ -195,7 +195,7 @@
         self._changed = asyncio.Event()
 
     async def async_call(self, request: PlainRequest) -> tuple[int, Any]:
-        """Return the status and document of a read call."""
+        """Serve a read call; return its status and document."""
         call = self._calls_by_path.get(request.path)
         if call is None:
             return 404, {}
--- a/libraries/standins/tarragonward_standins/prefix_cache.py
+++ b/libraries/standins/tarragonward_standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Keep the blocks of prompts that were read, as long as memory is free."""
+"""Prefix cache: blocks of prefilled prompts, kept while memory is free."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A change of the cache; added are (block index in the prompt, hash)."""
+    """A change of the cache; added holds pairs (block index in the prompt, hash)."""
 
     sequence: int
     added: tuple[tuple[int, int], ...] = ()
@@ -21,7 +21,7 @@
 
 
 class PrefixCache:
-    """Blocks by their chained hash; the one used longest ago goes first."""
+    """LRU cache of blocks by their chained hash."""
 
     def __init__(self, block_tokens: int) -> None:
         self._block_tokens = block_tokens
@@ -30,7 +30,7 @@
         self.sequence = 0
 
     def count_cached_tokens(self, hashes: tuple[int, ...]) -> int:
-        """Return how many leading tokens of a prompt are cached, and keep them."""
+        """Return a prompt's cached leading tokens, and mark their blocks as used."""
         blocks = 0
         for block_hash in hashes:
             if block_hash not in self._blocks:
@@ -40,7 +40,7 @@
         return blocks * self._block_tokens
 
     def add(self, hashes: tuple[int, ...], free_tokens: int) -> None:
-        """Keep a prompt's blocks; its end goes first when memory runs out."""
+        """Add a prompt's blocks; its last blocks are evicted first."""
         added = []
         for index in range(len(hashes) - 1, -1, -1):
             if hashes[index] not in self._blocks:
@@ -52,7 +52,7 @@
         self.shrink(free_tokens)
 
     def shrink(self, free_tokens: int) -> None:
-        """Evict what no longer fits in the free memory."""
+        """Evict blocks until the cache fits in the free memory."""
         removed = []
         while len(self._blocks) * self._block_tokens > max(free_tokens, 0):
             removed.append(self._blocks.popitem(last=False)[0])
@@ -60,7 +60,7 @@
             self._publish(CacheEvent(self.sequence + 1, removed=tuple(removed)))
 
     def get_events(self, after: int) -> Iterable[CacheEvent]:
-        """Return the events still kept after a sequence number."""
+        """Return the retained events after a sequence number."""
         kept = self.sequence - after
         if kept <= 0:
             return ()
--- a/libraries/standins/tarragonward_standins/process.py
+++ b/libraries/standins/tarragonward_standins/process.py
@@ -10,13 +10,13 @@
 
 
 class Server(Protocol):
-    """What can be set up and unloaded."""
+    """A server that can be set up and unloaded."""
 
     async def async_setup(self) -> None:
-        """Start to serve."""
+        """Start serving."""
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop serving."""
 
 
 def run_server(server: Server) -> None:
--- a/libraries/standins/tarragonward_standins/scripted.py
+++ b/libraries/standins/tarragonward_standins/scripted.py
@@ -1,4 +1,4 @@
-"""Play scripted targets and callers over raw sockets, byte by byte."""
+"""Scripted targets and callers on raw sockets, with control over each byte."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @dataclass
 class RawRequest:
-    """A request as a target read it."""
+    """A request as a target received it."""
 
     first_line: str
     headers: RawHeaderList
@@ -67,9 +67,9 @@
 
 @dataclass
 class ScriptedTarget:
-    """A target that answers the one request of each connection by a script.
+    """A target that answers one request per connection by a script.
 
-    caller_left is set when the other side has closed its connection.
+    caller_left is set when the caller has closed its connection.
     """
 
     script: Script
@@ -81,17 +81,17 @@
 
     @property
     def address(self) -> Address:
-        """Return the address that it listens on."""
+        """Return the listening address."""
         assert self._server is not None
         host, port = self._server.sockets[0].getsockname()[:2]
         return Address(host, port)
 
     async def async_setup(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._async_serve, "127.0.0.1", 0)
 
     async def async_unload(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
@@ -118,7 +118,7 @@
         try:
             await self.script(request, writer)
         except OSError:
-            # A write may meet the closed connection before the watcher reads its end.
+            # A write may fail on the closed connection before _async_watch reads EOF.
             self.caller_left.set()
             raise
 
@@ -138,7 +138,7 @@
     framing: Iterable[str] | None = None,
     seal: str = "X-Answer-Seal: sealed",
 ) -> bytes:
-    """Return a sealed answer to a request, framed by a length unless told otherwise."""
+    """Return a sealed answer, framed by Content-Length unless framing is given."""
     if framing is None:
         framing = (f"Content-Length: {len(body)}",)
     request_id = (request.get("x-request-id") or [""])[0]
@@ -147,7 +147,7 @@
 
 
 def answer_with(body: bytes = b"whole", status: str = "200 OK", **parts: str) -> Script:
-    """Return a script that answers as build_answer does."""
+    """Return a script that sends build_answer's answer."""
 
     async def script(request: RawRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(build_answer(request, body, status, **parts))
@@ -156,7 +156,7 @@
 
 
 def refuse_with(status: str = "503 Busy", lines: Iterable[str] = ()) -> Script:
-    """Return a script of a target that says that it does not run the request."""
+    """Return a script that refuses the request as not run."""
     head = [f"HTTP/1.1 {status}", "X-Did-Not-Run: 1", "Content-Length: 0", *lines]
     answer = "\r\n".join(head).encode() + HEAD_END
 
@@ -167,30 +167,33 @@
 
 
 async def async_lose_answer(request: RawRequest, writer: asyncio.StreamWriter) -> None:
-    """Have read the request, and close without an answer."""
+    """Read the request and close the connection without an answer."""
 
 
 async def async_reset(request: RawRequest, writer: asyncio.StreamWriter) -> None:
-    """Have read the request, and reset the connection."""
+    """Read the request and reset the connection."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     writer.transport.abort()
 
 
 def build_event(number: int) -> bytes:
-    """Return one event of a stream."""
+    """Return one server-sent event of a stream."""
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
 def build_chunk(data: bytes) -> bytes:
-    """Return bytes as one chunk of a chunked body."""
+    """Return data as one chunk of a chunked body."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 def stream_events(
     numbers: Iterable[int], cut: bytes = b"", is_ended: bool = True
 ) -> Script:
-    """Return a script that streams events, then a cut part of one, then its end."""
+    """Return a script that streams events, then the partial event cut.
+
+    The last chunk is sent only if is_ended.
+    """
     chunks = [build_chunk(build_event(number)) for number in numbers]
 
     async def script(request: RawRequest, writer: asyncio.StreamWriter) -> None:
@@ -206,7 +209,7 @@
 
 @dataclass
 class RawAnswer:
-    """An answer as a caller read it; is_whole is False where it was cut off."""
+    """An answer as a caller received it; is_complete is False if truncated."""
 
     status: int
     headers: RawHeaderList
@@ -238,7 +241,7 @@
         body: bytes = b"",
         request_id: str = "r1",
     ) -> None:
-        """Send a request with a key; lines are further headers."""
+        """Send a request with an API key; lines are additional headers."""
         head = [
             f"{method} {path} HTTP/1.1",
             "Host: app.example",
--- a/libraries/standins/tarragonward_standins/service.py
+++ b/libraries/standins/tarragonward_standins/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service whose calls may not be repeated."""
+"""Stand-in for a plain service with non-idempotent calls."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class ServiceStandIn:
-    """Runs each call that comes and counts the runs by the call's key.
+    """Runs every call and counts the runs per call key.
 
-    A call whose body starts with b"refuse" is refused with 429 before it runs.
+    A call whose body starts with b"refuse" is refused with 429 and not run.
     """
 
     def __init__(self, address: Address, delay_seconds: float = 0.0) -> None:
@@ -34,11 +34,11 @@
         return self._server.address
 
     async def async_setup(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         await self._server.async_setup()
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop serving."""
         await self._server.async_unload()
 
     async def _async_handle(self, request: HttpRequest, responder: Responder) -> None:
--- a/libraries/standins/tarragonward_standins/site.py
+++ b/libraries/standins/tarragonward_standins/site.py
@@ -1,4 +1,4 @@
-"""Start and break a small site of real processes on one loopback address."""
+"""Run a small site of real processes on one loopback address, and inject faults."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 __all__ = ["Site", "SiteHost", "SitePlan"]
 
-# Below the ports that the kernel gives to outgoing connections.
+# Below the ephemeral port range.
 FIRST_PORT = 10_000
-PORTS_A_SITE = 200
+PORTS_PER_SITE = 200
 SETUP_SECONDS = 20.0
-MAX_SHOWN_LOG = 2_000
+MAX_LOG_EXCERPT_CHARS = 2_000
 _site_numbers = itertools.count()
 
 
 @dataclass(frozen=True)
 class SitePlan:
-    """What a site has; accounts are by name with their weight."""
+    """Size and settings of a site; accounts maps names to weights."""
 
     failure_domains: tuple[str, ...] = ("north", "south")
     hosts_per_domain: int = 2
@@ -71,8 +71,8 @@
 class Site:
     """The processes of a site: platform, engines, services and entry hosts.
 
-    Each site has a loopback address of its own made from the process id, and each of
-    its processes a fixed port, so sites that run side by side never meet.
+    The loopback address is derived from the process id and each process has a fixed
+    port, so concurrent sites do not collide.
     """
 
     def __init__(self, folder: Path, plan: SitePlan) -> None:
@@ -82,7 +82,7 @@
         self.tokens = {name: secrets.token_hex(16) for name in plan.accounts}
         pid = os.getpid()
         self._ip = f"127.{16 + (pid >> 16) % 200}.{(pid >> 8) % 256}.{pid % 256}"
-        first = FIRST_PORT + (next(_site_numbers) % 100) * PORTS_A_SITE
+        first = FIRST_PORT + (next(_site_numbers) % 100) * PORTS_PER_SITE
         self._ports = itertools.count(first)
         self._processes: dict[str, asyncio.subprocess.Process] = {}
         self._commands: dict[str, list[str]] = {}
@@ -92,15 +92,15 @@
         self.services: dict[str, Address] = {}
         self.hosts: dict[str, SiteHost] = {}
         self._domains: dict[str, str] = {}
-        self._listen: dict[str, Address] = {}
+        self._peer_listen_addresses: dict[str, Address] = {}
         self.proxies: dict[str, FaultProxy] = {}
-        self._lay_out()
+        self._allocate_addresses()
 
     def new_address(self) -> Address:
-        """Return an address of this site that nothing else uses."""
+        """Return an unused address of this site."""
         return Address(self._ip, next(self._ports))
 
-    def _lay_out(self) -> None:
+    def _allocate_addresses(self) -> None:
         plan = self.plan
         for domain in plan.failure_domains:
             for number in range(1, plan.engines_per_domain + 1):
@@ -112,18 +112,20 @@
                 addresses = (self.new_address() for _ in range(3))
                 self.hosts[name] = SiteHost(name, domain, *addresses)
         if plan.has_proxies:
-            self._lay_out_proxies()
+            self._create_proxies()
 
-    def _lay_out_proxies(self) -> None:
-        """Stand a proxy before each service, host's peers, and a host's platform.
+    def _create_proxies(self) -> None:
+        """Create fault proxies in front of services, host peers and the platform.
 
         They are named NAME, peers-HOST and platform-HOST, and run in this process.
         """
         for name, address in self.services.items():
             self.proxies[name] = FaultProxy(self.new_address(), address)
         for name, host in self.hosts.items():
-            self._listen[name] = self.new_address()
-            self.proxies[f"peers-{name}"] = FaultProxy(host.peers, self._listen[name])
+            self._peer_listen_addresses[name] = self.new_address()
+            self.proxies[f"peers-{name}"] = FaultProxy(
+                host.peers, self._peer_listen_addresses[name]
+            )
             self.proxies[f"platform-{name}"] = FaultProxy(
                 self.new_address(), self.platform
             )
@@ -133,7 +135,7 @@
         self._domains[name] = domain
 
     def build_document(self) -> dict[str, Any]:
-        """Return the configuration that the platform publishes at first."""
+        """Return the initial configuration that the platform publishes."""
         plan = self.plan
         engines = {
             name: {
@@ -149,7 +151,7 @@
         services = {
             name: {
                 "kind": "service",
-                "address": str(self._get_seen_address(name, address)),
+                "address": str(self._get_published_address(name, address)),
                 "failure_domain": self._domains[name],
                 "service": "approvals",
             }
@@ -172,7 +174,7 @@
             **self._build_weight_store(),
         }
 
-    def _get_seen_address(self, name: str, address: Address) -> Address:
+    def _get_published_address(self, name: str, address: Address) -> Address:
         proxy = self.proxies.get(name)
         return address if proxy is None else proxy.address
 
@@ -185,32 +187,32 @@
     def build_host_list(self) -> list[dict[str, Any]]:
         """Return the platform's host list."""
         entries = [
-            _list_host("entry", h.name, h.peers, h.failure_domain)
+            _build_host_entry("entry", h.name, h.peers, h.failure_domain)
             for h in self.hosts.values()
         ]
         targets = [
-            _list_host("target", name, address, self._domains[name])
+            _build_host_entry("target", name, address, self._domains[name])
             for name, address in {**self.engines, **self.services}.items()
         ]
         return entries + targets
 
     async def async_setup(self) -> None:
-        """Write the files, start all processes and wait until all of them serve."""
+        """Write the files, start all processes and wait until they serve."""
         self._write_files()
         self._build_commands()
         await asyncio.gather(*(proxy.async_setup() for proxy in self.proxies.values()))
-        # A group, not gather: where one fails, no other starts after the unload.
+        # A task group, unlike gather, starts no more processes once one has failed.
         async with asyncio.TaskGroup() as group:
             for name in self._commands:
                 group.create_task(self.async_start(name))
-        # A host is healthy before a slow target listens. Symptom: the first requests
-        # of a test fail with "every attempt failed" on a busy machine.
+        # A host can be healthy before a slow target listens; the first requests of a
+        # test would then fail with "every attempt failed" on a busy machine.
         targets = [*self.engines.values(), *self.services.values()]
         await asyncio.gather(*(self.async_wait_listening(a) for a in targets))
         await asyncio.gather(*(self.async_wait_healthy(name) for name in self.hosts))
 
     async def async_unload(self) -> None:
-        """End all processes that are left; none stays behind."""
+        """Kill all remaining processes and stop the proxies."""
         async with AsyncExitStack() as stack:
             for name in list(self._processes):
                 stack.push_async_callback(self.async_kill, name)
@@ -218,7 +220,7 @@
                 stack.push_async_callback(proxy.async_unload)
 
     async def async_start(self, name: str) -> None:
-        """Start a process of the site, again after it ended."""
+        """Start or restart a process of the site."""
         log = (self.folder / f"{name}.log").open("ab")
         with log:
             self._processes[name] = await asyncio.create_subprocess_exec(
@@ -226,14 +228,14 @@
             )
 
     async def async_kill(self, name: str) -> None:
-        """End a process at once, frozen or not."""
+        """Kill a process, also if it is stopped by SIGSTOP."""
         process = self._processes.pop(name, None)
         if process is not None and process.returncode is None:
             process.send_signal(signal.SIGKILL)
             await process.wait()
 
     async def async_terminate(self, name: str, timeout: float) -> int:
-        """Ask a process to stop and return its exit code; raise TimeoutError."""
+        """Send SIGTERM and return the exit code; raise TimeoutError."""
         process = self._processes[name]
         process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(timeout):
@@ -246,7 +248,7 @@
         self._processes[name].send_signal(number)
 
     async def async_wait_listening(self, address: Address) -> None:
-        """Wait until a process of the site takes connections."""
+        """Wait until a process of the site answers HTTP requests."""
         async with asyncio.timeout(SETUP_SECONDS):
             while True:
                 try:
@@ -272,16 +274,16 @@
                 await asyncio.sleep(0.05)
 
     def _check_running(self, name: str) -> None:
-        """Raise RuntimeError, with the end of its log, where a process has ended."""
+        """Raise RuntimeError with the end of the log if a process has ended."""
         process = self._processes.get(name)
         if process is not None and process.returncode is not None:
             log = (self.folder / f"{name}.log").read_text("utf-8", "replace")
-            raise RuntimeError(f"{name} ended: {log[-MAX_SHOWN_LOG:]}")
+            raise RuntimeError(f"{name} ended: {log[-MAX_LOG_EXCERPT_CHARS:]}")
 
     async def async_ask_operators(
         self, name: str, path: str, method: str = "GET"
     ) -> Any:
-        """Return the JSON of an operators' route of an entry host."""
+        """Send a request to an operator route of a host and return the JSON."""
         headers = {"authorization": f"Bearer {self.operator_token}"}
         answer = await async_send_http(
             self.hosts[name].operators, method, path, headers=headers, timeout=5.0
@@ -298,7 +300,7 @@
         return answer.parse_json()["sequence"]
 
     async def async_set_platform_faults(self, **faults: Any) -> None:
-        """Let the configuration be down (configuration_down) or stale (stale_at)."""
+        """Set the platform's faults: configuration_down, stale_at."""
         await self._async_platform("PUT", "/v1/faults", faults)
 
     async def async_set_hosts(self, hosts: list[dict[str, Any]]) -> None:
@@ -323,8 +325,8 @@
 
     def _write_settings(self, host: SiteHost) -> None:
         limits = "\n".join(f"{key} = {value}" for key, value in self._limits().items())
-        listen = self._listen.get(host.name, host.peers)
-        platform = self._get_seen_address(f"platform-{host.name}", self.platform)
+        listen = self._peer_listen_addresses.get(host.name, host.peers)
+        platform = self._get_published_address(f"platform-{host.name}", self.platform)
         (self.folder / f"{host.name}.toml").write_text(
             f"""\
 [host]
@@ -399,7 +401,9 @@
     return command
 
 
-def _list_host(kind: str, name: str, address: Address, domain: str) -> dict[str, Any]:
+def _build_host_entry(
+    kind: str, name: str, address: Address, domain: str
+) -> dict[str, Any]:
     return {
         "kind": kind,
         "name": name,
--- a/libraries/standins/tarragonward_standins/weight_store.py
+++ b/libraries/standins/tarragonward_standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Stand in for the rate-limited weight store, over HTTP and as a model."""
+"""Stand-in for the rate-limited weight store, over HTTP and as a model."""
 
 from __future__ import annotations
 
@@ -22,52 +22,56 @@
 
 @dataclass(frozen=True)
 class WeightStoreSizes:
-    """Rates in bytes per second: of the whole store, and of one engine's reading."""
+    """Bandwidth of the store and of each engine, in bytes per second."""
 
     store_bytes_per_second: float = 10e9
     engine_bytes_per_second: float = 2.5e9
 
 
 class WeightStoreModel:
-    """Loads under way share the store's rate, each up to its engine's own."""
+    """Concurrent loads share the store's bandwidth, each up to its engine's own."""
 
     def __init__(self, sizes: WeightStoreSizes) -> None:
         self._sizes = sizes
-        self._left: dict[str, float] = {}
+        self._remaining_bytes: dict[str, float] = {}
 
     @property
     def loading(self) -> frozenset[str]:
-        """Return the engines that load."""
-        return frozenset(self._left)
+        """Return the engines that are loading."""
+        return frozenset(self._remaining_bytes)
 
     def start(self, engine: str, size_bytes: float) -> None:
-        """Begin to load; beginning again changes nothing."""
-        self._left.setdefault(engine, size_bytes)
+        """Start a load; idempotent while it runs."""
+        self._remaining_bytes.setdefault(engine, size_bytes)
 
     def advance(self, seconds: float) -> list[str]:
-        """Let time pass and return the engines whose load has ended."""
-        if not self._left:
+        """Advance time and return the engines whose loads completed."""
+        if not self._remaining_bytes:
             return []
-        shared = self._sizes.store_bytes_per_second / len(self._left)
+        shared = self._sizes.store_bytes_per_second / len(self._remaining_bytes)
         rate = min(shared, self._sizes.engine_bytes_per_second)
-        for engine in self._left:
-            self._left[engine] -= rate * seconds
-        ended = [engine for engine, left in self._left.items() if left <= 0]
-        for engine in ended:
-            del self._left[engine]
-        return ended
+        for engine in self._remaining_bytes:
+            self._remaining_bytes[engine] -= rate * seconds
+        completed = [
+            engine
+            for engine, remaining in self._remaining_bytes.items()
+            if remaining <= 0
+        ]
+        for engine in completed:
+            del self._remaining_bytes[engine]
+        return completed
 
 
 @dataclass(frozen=True)
 class WeightReader:
-    """Where an engine reads its weights, and how much of them."""
+    """Reads an engine's weights from the store."""
 
     reader: str
     store: Address
     size_bytes: float
 
     async def async_read(self) -> None:
-        """Read all weights, again where the store does not answer."""
+        """Read all weights; retry until the store answers."""
         body = orjson.dumps({"reader": self.reader, "bytes": self.size_bytes})
         while True:
             with suppress(TargetError):
@@ -83,31 +87,31 @@
 
 
 class WeightStoreStandIn:
-    """Answers a read when its bytes would have come at the shared rate."""
+    """Answers a read once its bytes would have arrived at the shared rate."""
 
     def __init__(self, address: Address, sizes: WeightStoreSizes) -> None:
         self.model = WeightStoreModel(sizes)
         self.most_at_once = 0
-        self._ended: dict[str, asyncio.Event] = {}
+        self._completed: dict[str, asyncio.Event] = {}
         self._server = HttpServer(address, self._async_handle)
-        self._ticking: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
 
     async def async_setup(self) -> None:
-        """Start to serve."""
+        """Start serving."""
         await self._server.async_setup()
-        self._ticking = asyncio.create_task(self._async_tick())
+        self._tick_task = asyncio.create_task(self._async_tick())
 
     async def async_unload(self) -> None:
-        """Stop."""
-        if self._ticking is not None:
-            self._ticking.cancel()
+        """Stop serving."""
+        if self._tick_task is not None:
+            self._tick_task.cancel()
         await self._server.async_unload()
 
     async def _async_tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
             for reader in self.model.advance(TICK_SECONDS):
-                self._ended.pop(reader).set()
+                self._completed.pop(reader).set()
 
     async def _async_handle(self, request: HttpRequest, responder: Responder) -> None:
         match request.method, request.path:
@@ -125,10 +129,10 @@
                 await responder.async_send_json(404, {"error": "not found"})
 
     async def _async_read(self, reader: str, size_bytes: float) -> None:
-        ended = self._ended.setdefault(reader, asyncio.Event())
+        completed = self._completed.setdefault(reader, asyncio.Event())
         self.model.start(reader, size_bytes)
         self.most_at_once = max(self.most_at_once, len(self.model.loading))
-        await ended.wait()
+        await completed.wait()
 
 
 def main() -> None:
--- a/libraries/standins/tests/test_platform_tickets.py
+++ b/libraries/standins/tests/test_platform_tickets.py
@@ -12,7 +12,7 @@
 @pytest.fixture
 def log():
     log = ReservationLog("i")
-    log.note([Reservation("t", 9, 30.0, 0.0)], 0.0)
+    log.update([Reservation("t", 9, 30.0, 0.0)], 0.0)
     return log
 
 
@@ -24,7 +24,7 @@
     record = log.get("t")
     record.begin_use("r")
     record.end_use("r", 20.0)
-    log.note([], 23.9)
+    log.update([], 23.9)
     assert judge(log, 99.0) == []
 
 
@@ -40,7 +40,7 @@
 def test_memory_that_no_request_uses_is_found(log):
     assert judge(log, 8.9) == []
     assert judge(log, 9.1) == [("STUCK", "i/t")]
-    log.note([], 9.2)
+    log.update([], 9.2)
     assert judge(log, 99.0) == [("STUCK", "i/t")]
 
 
@@ -53,7 +53,7 @@
 
 
 def test_a_reservation_made_anew_under_its_id_is_another_one(log):
-    log.note([], 5.0)
-    log.note([Reservation("t", 9, 30.0, 6.0)], 6.0)
+    log.update([], 5.0)
+    log.update([Reservation("t", 9, 30.0, 6.0)], 6.0)
     assert len(log.records) == 2
     assert judge(log, 14.0) == []
