--- a/libraries/config/tarragonward_config/history.py
+++ b/libraries/config/tarragonward_config/history.py
@@ -86,10 +86,12 @@
         """
         current = self.state
         if current is not None and state.sequence <= current.sequence:
-            is_same = state.sequence < current.sequence or (
+            is_older_or_same = state.sequence < current.sequence or (
                 compute_digest(state) == self.digest
             )
-            return ApplyResult(Outcome.NOTHING_NEW if is_same else Outcome.FORK)
+            return ApplyResult(
+                Outcome.NOTHING_NEW if is_older_or_same else Outcome.FORK
+            )
         if current is not None and state.number < current.number:
             return ApplyResult(Outcome.FORK)
         self._entries.clear()
