--- a/libraries/bench/tarragonward_bench/model_runs.py
+++ b/libraries/bench/tarragonward_bench/model_runs.py
@@ -63,7 +63,7 @@
         for _ in range(count):
             if self.finish_reason:
                 return
-            if self.text.is_at_stop():
+            if self.text.is_finished():
                 self.finish_reason = "stop"
                 return
             self.pieces.append(self.text.next_token())
