--- a/libraries/bench/tarragonward_bench/platform_troubles.py
+++ b/libraries/bench/tarragonward_bench/platform_troubles.py
@@ -287,15 +287,15 @@
         await site.async_setup()
         day = FaultyDay(site, seed, options.kind)
         report = await day.async_play()
-        faults = day.find_errors()
+        errors = day.find_errors()
         ends = {k: v for k, v in report.score.items() if k.startswith("status_")}
         rules = dict(Counter(rule for rule, _ in report.violations))
         held = sum(len(model.reservation_log.records) for model in site.models)
         line = f"{report.format_line()} reservations={held}"
         print(f"seed={seed} {line} {day.drawn} {ends} {rules}")
-        for line in (*faults[:5], *map(str, report.violations[:5])):
+        for line in (*errors[:5], *map(str, report.violations[:5])):
             print(f"    {line[:300]}")
-        return not (report.violations or faults)
+        return not (report.violations or errors)
 
 
 def main() -> None:
--- a/libraries/bench/tarragonward_bench/proofs/__init__.py
+++ b/libraries/bench/tarragonward_bench/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Take safeguards out of a copy, and see that their tests fail there."""
+"""Mutation testing: check that tests fail if the safeguard they cover is removed."""
--- a/libraries/bench/tarragonward_bench/proofs/edits.py
+++ b/libraries/bench/tarragonward_bench/proofs/edits.py
@@ -1,4 +1,4 @@
-"""Replace lines of a source file that stand there once, as whole lines."""
+"""Replace whole lines that occur exactly once in a source file."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class EditError(Exception):
-    """Report an edit that does not fit the code as it stands."""
+    """Raised if an edit does not apply to the code."""
 
 
 @dataclass(frozen=True)
 class Edit:
-    """Lines that stand once in a file, and what replaces them."""
+    """Lines that occur once in a file, and their replacement."""
 
     file: str
     lines: str
@@ -22,8 +22,8 @@
     def apply(self, source: str) -> str:
         """Return the changed source.
 
-        Raise EditError where the lines no longer stand in it, or stand twice, and where
-        what is left is no Python: each run of that would only fail to start.
+        Raise EditError if the lines don't occur exactly once, or if the result is not
+        valid Python, with which any test would fail.
         """
         old, new = self.lines.split("\n"), self.instead.split("\n")
         all_lines = source.split("\n")
@@ -33,12 +33,14 @@
             if all_lines[start : start + len(old)] == old
         ]
         if len(starts) != 1:
-            raise EditError(f"the lines stand {len(starts)} times in {self.file}")
+            raise EditError(f"the lines occur {len(starts)} times in {self.file}")
         rest = all_lines[starts[0] + len(old) :]
         kept = new if self.instead else []
         changed = "\n".join([*all_lines[: starts[0]], *kept, *rest])
         try:
             compile(changed, self.file, "exec")
         except SyntaxError as err:
-            raise EditError(f"no Python is left of {self.file}: {err}") from None
+            raise EditError(
+                f"{self.file} is not valid Python after the edit: {err}"
+            ) from None
         return changed
--- a/libraries/bench/tarragonward_bench/proofs/rows.py
+++ b/libraries/bench/tarragonward_bench/proofs/rows.py
@@ -1,4 +1,4 @@
-"""Read the table of proofs: a safeguard each, and the tests that must fail without."""
+"""Load the table of safeguards and of the tests that must fail without them."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class RowError(Exception):
-    """Report a row that cannot be played as it stands."""
+    """Raised if a row is invalid or does not apply to the code."""
 
 
 @dataclass(frozen=True)
 class Row:
-    """A promise, the fault that it is held against, and the safeguard that holds it.
+    """Guarantee, the fault it must hold under, and the safeguard that ensures it.
 
-    lines stand exactly once in the file, as whole lines; instead replaces them.
+    lines are whole lines that occur exactly once in the file; instead replaces them.
     """
 
     promise: str
@@ -36,7 +36,7 @@
 def load_rows(path: Path) -> list[Row]:
     """Return the rows of a table.
 
-    Raise KeyError for a field that is missing, RowError for a row without a test.
+    Raise KeyError for a missing field, RowError for a row without tests or effect.
     """
     table = tomllib.loads(path.read_text("utf-8"))
     rows = [
@@ -59,14 +59,16 @@
 def _check(rows: Iterable[Row]) -> None:
     for row in rows:
         if not row.tests or not row.lines or row.lines == row.instead:
-            raise RowError(f"a row proves nothing: {row.promise}, {row.file}")
+            raise RowError(
+                f"a row has no tests, no lines or no change: {row.promise}, {row.file}"
+            )
 
 
 def remove_safeguard(row: Row, source: str) -> str:
     """Return the source without the safeguard.
 
-    Raise RowError where its lines no longer stand in the code, or stand twice, and
-    where what is left is no Python.
+    Raise RowError if its lines don't occur exactly once in the code, or if the result
+    is not valid Python.
     """
     try:
         return Edit(row.file, row.lines, row.instead).apply(source)
--- a/libraries/bench/tarragonward_bench/round_robin.py
+++ b/libraries/bench/tarragonward_bench/round_robin.py
@@ -1,4 +1,4 @@
-"""Serve as the plainest proxy would: in turn, and again blindly; to compare with."""
+"""Baseline for comparison: a round-robin proxy with unconditional retry."""
 
 from __future__ import annotations
 
@@ -24,37 +24,37 @@
 
 __all__ = ["RoundRobin"]
 
-MAX_TRIES = 3
-SILENCE_SECONDS = 5.0
-CONFIGURATION_SECONDS = 0.5
+MAX_ATTEMPTS = 3
+SILENCE_TIMEOUT_SECONDS = 5.0
+CONFIGURATION_POLL_SECONDS = 0.5
 OWNER = "round-robin"
 
 
 class RoundRobin:
-    """One plain proxy on an entry host's addresses.
+    """Round-robin proxy on an entry host's addresses.
 
-    It knows every published engine, takes them in turn, tries another one after any
-    failure, and gives the answer out only when it is whole: kinder than a proxy that
-    streams, which could not try again after the first byte.
+    It selects the published engines in turn, retries with the next one after any
+    failure, and sends only complete answers: a better baseline than a streaming proxy,
+    which can't retry after the first byte.
     """
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._engines: list[Address] = []
         self._number = -1
-        self._turn = itertools.count()
+        self._attempts = itertools.count()
         self._callers = HttpServer(settings.callers, self._async_complete)
         self._operators = HttpServer(settings.operators, self._async_operate)
         self._task: asyncio.Task[None] | None = None
 
     async def async_setup(self) -> None:
-        """Start to serve."""
+        """Start the servers."""
         self._task = asyncio.create_task(self._async_read_configuration())
         await self._callers.async_setup()
         await self._operators.async_setup()
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop the servers."""
         if self._task is not None:
             self._task.cancel()
         await self._operators.async_unload()
@@ -79,7 +79,7 @@
                 self._number = snapshot["number"]
             except (TargetError, KeyError):
                 pass
-            await asyncio.sleep(CONFIGURATION_SECONDS)
+            await asyncio.sleep(CONFIGURATION_POLL_SECONDS)
 
     async def _async_operate(self, request: HttpRequest, responder: Responder) -> None:
         status = 200 if self._engines else 503
@@ -88,9 +88,9 @@
 
     async def _async_complete(self, request: HttpRequest, responder: Responder) -> None:
         body = orjson.loads(request.body)
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
-                lines = await self._async_try(body)
+                lines = await self._async_request(body)
             except (TargetError, TimeoutError):
                 continue
             await responder.async_start(200, {"content-type": "text/event-stream"})
@@ -100,8 +100,8 @@
             return
         await responder.async_send_error(ResultCode.ENGINES_FAILED)
 
-    async def _async_try(self, body: dict[str, Any]) -> list[dict[str, Any]]:
-        engine = self._engines[next(self._turn) % len(self._engines)]
+    async def _async_request(self, body: dict[str, Any]) -> list[dict[str, Any]]:
+        engine = self._engines[next(self._attempts) % len(self._engines)]
         payload = {
             "stream_id": uuid.uuid4().hex,
             "owner": OWNER,
@@ -113,14 +113,16 @@
         ) as stream:
             if stream.status != 200:
                 raise TargetError(str(stream.status))
-            found: list[dict[str, Any]] = []
+            received: list[dict[str, Any]] = []
             lines = stream.async_iterate_lines()
-            while not found or "finish_reason" not in found[-1]:
-                line = await asyncio.wait_for(anext(lines, b""), SILENCE_SECONDS)
+            while not received or "finish_reason" not in received[-1]:
+                line = await asyncio.wait_for(
+                    anext(lines, b""), SILENCE_TIMEOUT_SECONDS
+                )
                 if not line:
-                    raise TargetError("cut short")
-                found.append(orjson.loads(line))
-            return found
+                    raise TargetError("stream ended early")
+                received.append(orjson.loads(line))
+            return received
 
 
 def _build_event(line: dict[str, Any]) -> bytes:
@@ -132,7 +134,7 @@
 
 
 def main() -> None:
-    """Run one plain proxy as a process, with an entry host's settings."""
+    """Run the proxy as a process, with an entry host's settings."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", type=Path, required=True)
     run_server(RoundRobin(load_settings(parser.parse_args().settings)))
--- a/libraries/bench/tarragonward_bench/seeds.py
+++ b/libraries/bench/tarragonward_bench/seeds.py
@@ -1,4 +1,4 @@
-"""Measure membership by seeds at several sizes: `script/measure seeds`."""
+"""Measure seed-based membership at several fleet sizes: `script/measure seeds`."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 DEFAULT_SIZES = (9, 40, 83, 160, 320)
 MICROSECONDS = 1_000_000
 KILOBYTE = 1_000
-# The format's number, the publications' section and the map around it.
+# Bytes of a hello for the format version, the publications section and the outer map.
 FRAME_BYTES = 45
 
 
 @dataclass(frozen=True)
 class SeedSize:
-    """What a host does at a size; bytes and messages are those it sends."""
+    """Mean cost per host at a fleet size; bytes and messages are those sent."""
 
     hosts: int
-    bytes_a_second: float
-    far_bytes_a_second: float
-    messages_a_second: float
-    core_microseconds_a_second: float
+    bytes_per_second: float
+    cross_domain_bytes_per_second: float
+    messages_per_second: float
+    cpu_microseconds_per_second: float
     memory_bytes: float
     known_share: float
     mean_age_seconds: float
@@ -64,39 +64,39 @@
             )
             for number in range(hosts)
         }
-        self._last = dict.fromkeys(self.hosts, 300)
+        self._last_sizes = dict.fromkeys(self.hosts, 300)
         self.clear()
 
     def clear(self) -> None:
-        self.bytes = self.far_bytes = self.messages = 0
+        self.bytes = self.cross_domain_bytes = self.messages = 0
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
             self.now += ROUND_SECONDS
             for address, host in self.hosts.items():
-                event = RoundDue(self._last[address])
-                self._carry(address, host.handle(event, self.now))
+                event = RoundDue(self._last_sizes[address])
+                self._deliver(address, host.handle(event, self.now))
 
-    def _carry(self, sender: Address, effects: list[SeedEffect]) -> None:
+    def _deliver(self, sender: Address, effects: list[SeedEffect]) -> None:
         targets = [a for e in effects if isinstance(e, SendHello) for a in e.addresses]
         if not targets:
             return
         packed = msgpack.packb(self.hosts[sender].build_hello(self.now).pack())
-        self._last[sender] = size = len(packed) + self._overhead
+        self._last_sizes[sender] = size = len(packed) + self._overhead
         self.messages += len(targets)
         self.bytes += size * len(targets)
         for target in targets:
-            is_far = (target.port - sender.port) % DOMAINS != 0
-            self.far_bytes += size * is_far
-            heard = HelloReceived(Hello.unpack(sender, msgpack.unpackb(packed)))
-            self._carry(target, self.hosts[target].handle(heard, self.now))
+            is_cross_domain = (target.port - sender.port) % DOMAINS != 0
+            self.cross_domain_bytes += size * is_cross_domain
+            hello = HelloReceived(Hello.unpack(sender, msgpack.unpackb(packed)))
+            self._deliver(target, self.hosts[target].handle(hello, self.now))
 
 
 def measure_size(
     hosts: int, settle: float, seconds: float, sections_bytes: int
 ) -> SeedSize:
-    """Run a fleet until it knows itself, then measure it."""
+    """Run a fleet until its views have converged, then measure it."""
     tracemalloc.start()
     fleet = _Fleet(hosts, sections_bytes)
     before = tracemalloc.get_traced_memory()[0]
@@ -104,18 +104,18 @@
     memory = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     fleet.clear()
-    began = time.process_time()
+    cpu_before = time.process_time()
     fleet.run(seconds)
-    used = time.process_time() - began
+    cpu_seconds = time.process_time() - cpu_before
     peers = [host.get_peers() for host in fleet.hosts.values()]
     ages = [fleet.now - peer.last_seen_at for known in peers for peer in known]
-    scale = seconds * hosts
+    host_seconds = seconds * hosts
     return SeedSize(
         hosts,
-        fleet.bytes / scale,
-        fleet.far_bytes / scale,
-        fleet.messages / scale,
-        used * MICROSECONDS / scale,
+        fleet.bytes / host_seconds,
+        fleet.cross_domain_bytes / host_seconds,
+        fleet.messages / host_seconds,
+        cpu_seconds * MICROSECONDS / host_seconds,
         memory / hosts,
         sum(len(known) for known in peers) / (hosts * (hosts - 1)),
         sum(ages) / len(ages),
@@ -123,12 +123,12 @@
 
 
 def _get_address(number: int) -> Address:
-    # The port only tells the fleet's domains apart here.
+    # _Fleet._deliver derives the failure domain from the port.
     return Address(f"10.{number // 200}.0.{number % 200 + 1}", PORT + number)
 
 
 def main() -> None:
-    """Print a row for each size."""
+    """Print a row per fleet size."""
     parser = argparse.ArgumentParser(prog="script/measure seeds", description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="+", default=DEFAULT_SIZES)
     parser.add_argument("--settle", type=float, default=20.0, help="seconds")
@@ -139,9 +139,10 @@
     for hosts in options.sizes:
         size = measure_size(hosts, options.settle, options.seconds, options.sections)
         print(
-            f"{size.hosts:5d} {size.bytes_a_second:6.0f} "
-            f"{size.far_bytes_a_second:6.0f} {size.messages_a_second:6.1f} "
-            f"{size.core_microseconds_a_second:7.0f} "
+            f"{size.hosts:5d} {size.bytes_per_second:6.0f} "
+            f"{size.cross_domain_bytes_per_second:6.0f} "
+            f"{size.messages_per_second:6.1f} "
+            f"{size.cpu_microseconds_per_second:7.0f} "
             f"{size.memory_bytes / KILOBYTE:7.1f} {size.known_share:6.3f} "
             f"{size.mean_age_seconds:5.2f}"
         )
--- a/libraries/bench/tarragonward_bench/soak.py
+++ b/libraries/bench/tarragonward_bench/soak.py
@@ -1,4 +1,4 @@
-"""Run the randomised machines for a while: `script/soak --seed N --minutes M`."""
+"""Run the randomised simulations: `script/soak --seed N --minutes M`."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 __all__ = ["MACHINES", "SeedResult", "run_seed"]
 
-SECONDS_A_MINUTE = 60.0
+SECONDS_PER_MINUTE = 60.0
 
-# A machine takes a seed and returns how many events it ran. It raises AssertionError
-# or InvariantViolationError where a promise or an invariant is broken.
+# Takes a seed, runs a simulation and returns the number of events. Raises AssertionError
+# or InvariantViolationError if a guarantee or an invariant is violated.
 Machine = Callable[[int], int]
 MACHINES: dict[str, Machine] = {
     "budget": run_budget_seed,
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class SeedResult:
-    """One machine's run of one seed; violation is empty where all held."""
+    """Result of a machine and seed; violation is empty if there was none."""
 
     machine: str
     seed: int
@@ -53,7 +53,7 @@
 
 
 def run_seed(machine: str, seed: int) -> SeedResult:
-    """Run one machine with one seed, invariants raised at once."""
+    """Run one machine with one seed; a violated invariant ends the run."""
     was_strict, invariants.strict = invariants.strict, True
     try:
         return SeedResult(machine, seed, MACHINES[machine](seed))
@@ -64,10 +64,12 @@
 
 
 def main() -> int:
-    """Run seeds until the time is over; return 1 where there was a violation."""
+    """Run seeds until the time is over; return 1 if there was a violation."""
     parser = argparse.ArgumentParser(prog="script/soak", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
-    parser.add_argument("--seeds", type=int, default=0, help="how many; 0: no limit")
+    parser.add_argument(
+        "--seeds", type=int, default=0, help="number of seeds; 0: no limit"
+    )
     parser.add_argument("--minutes", type=float, default=1.0)
     parser.add_argument("--machine", choices=sorted(MACHINES), action="append")
     options = parser.parse_args()
@@ -76,7 +78,7 @@
         options.machine or sorted(MACHINES),
         options.seed,
         options.seeds,
-        time.monotonic() + options.minutes * SECONDS_A_MINUTE,
+        time.monotonic() + options.minutes * SECONDS_PER_MINUTE,
     )
 
 
--- a/libraries/bench/tarragonward_bench/soak_configuration.py
+++ b/libraries/bench/tarragonward_bench/soak_configuration.py
@@ -1,4 +1,4 @@
-"""Run hosts that exchange patches and order engines against a plain model."""
+"""Simulate the exchange of configuration patches and the orders to engines."""
 
 from __future__ import annotations
 
@@ -26,8 +26,13 @@
 __all__ = ["ConfigurationMachine", "run_configuration_seed"]
 
 HOSTS, REPLICAS, STEPS = 4, 2, 250
-HEALING_ROUNDS = 6
-LOST, DOUBLED, STALE_BASE, FORKING_SEEDS = 0.15, 0.15, 0.3, 0.25
+CONVERGENCE_ROUNDS = 6
+LOSS_PROBABILITY, DUPLICATION_PROBABILITY, STALE_BASE_PROBABILITY, FORK_PROBABILITY = (
+    0.15,
+    0.15,
+    0.3,
+    0.25,
+)
 MODEL = "m"
 DOCUMENT = {
     "client_accounts": {},
@@ -49,13 +54,13 @@
 
 @dataclass
 class _Engine:
-    """An engine: takes the last order, or refuses old ones if it checks them."""
+    """Engine that applies all orders, or refuses old ones if it checks fencing."""
 
     checks_fencing: bool
     fencing: int = 0
     models: dict[str, Any] = field(default_factory=dict)
 
-    def take(self, order: EngineOrder) -> None:
+    def apply(self, order: EngineOrder) -> None:
         if self.checks_fencing and order.fencing < self.fencing:
             return
         self.fencing = order.fencing
@@ -64,31 +69,34 @@
 
 @dataclass
 class _Host:
-    """One life of a host; admitted is the number that it serves by, once it does."""
+    """Incarnation of a host.
+
+    admitted is the number of the configuration it serves by, None before it serves.
+    """
 
     history: ConfigurationHistory = field(default_factory=ConfigurationHistory)
     admitted: int | None = None
 
 
 class ConfigurationMachine:
-    """Hosts, replicas of the platform and engines; all chance comes from the seed."""
+    """Simulation of hosts, platform replicas and engines, determined by its seed."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
-        self._is_forking = self._random.random() < FORKING_SEEDS
+        self._is_forking = self._random.random() < FORK_PROBABILITY
         self._log: list[LogEntry] = []
-        self._truths = [build_state(0, 0, DOCUMENT)]
-        self._shown = [0] * REPLICAS
-        self._mail: list[Callable[[], None]] = []
+        self._expected_states = [build_state(0, 0, DOCUMENT)]
+        self._visible_lengths = [0] * REPLICAS
+        self._in_flight: list[Callable[[], None]] = []
         self._engines = {"checks": _Engine(True), "ignores": _Engine(False)}
         self._hosts = [_Host() for _ in range(HOSTS)]
         self._events = 0
 
     def run(self) -> int:
-        """Run to the end, heal, check the end, and return the number of events."""
+        """Run the simulation, check that it converges; return the number of events."""
         actions = [
             (6, self._publish),
-            (8, self._show_more),
+            (8, self._advance_replica),
             (20, lambda: self._read_log(self._pick_host(), self._pick_replica())),
             (20, lambda: self._pull(self._pick_host(), self._pick_host())),
             (15, lambda: self._order(self._pick_host(), self._pick_engine())),
@@ -99,33 +107,35 @@
         weights = [weight for weight, _ in actions]
         for _ in range(STEPS):
             _, action = self._random.choices(actions, weights)[0]
-            self._do(action)
-        while self._mail:
-            self._do(self._deliver)
+            self._run_action(action)
+        while self._in_flight:
+            self._run_action(self._deliver)
         if not self._is_forking:
-            self._heal()
+            self._check_convergence()
         return self._events
 
-    def _do(self, action: Callable[[], None]) -> None:
+    def _run_action(self, action: Callable[[], None]) -> None:
         action()
         self._events += 1
         for host in self._hosts:
             self._check_host(host)
 
     def _check_host(self, host: _Host) -> None:
-        """Admit work where allowed; the number served by must never fall."""
+        """Admit work if allowed; check that the configuration never goes back."""
         state = host.history.state
         if state is None or (
             host.admitted is None and host.history.is_below_fencing_floor
         ):
             return
         floor = host.history.floor if host.admitted is None else host.admitted
-        assert state.number >= floor, "the number fell"
+        assert state.number >= floor, "the configuration number decreased"
         host.admitted = state.number
         if not self._is_forking:
-            true = self._build_truth(state.sequence)
-            assert compute_digest(state) == compute_digest(true), "another document"
-            assert state.number == true.number, "another verdict"
+            expected = self._build_expected_state(state.sequence)
+            assert compute_digest(state) == compute_digest(expected), (
+                "the document differs from the log's"
+            )
+            assert state.number == expected.number, "the number differs from the log's"
 
     def _pick_host(self) -> _Host:
         return self._random.choice(self._hosts)
@@ -136,16 +146,18 @@
     def _pick_engine(self) -> str:
         return self._random.choice(sorted(self._engines))
 
-    def _build_truth(self, length: int) -> ConfigurationState:
-        for entry in self._log[len(self._truths) - 1 : length]:
-            self._truths.append(apply_entry(self._truths[-1], entry)[0])
-        return self._truths[length]
+    def _build_expected_state(self, length: int) -> ConfigurationState:
+        for entry in self._log[len(self._expected_states) - 1 : length]:
+            self._expected_states.append(
+                apply_entry(self._expected_states[-1], entry)[0]
+            )
+        return self._expected_states[length]
 
     def _publish(self) -> None:
-        """Let an operator publish, sometimes against a number that is old by then."""
-        truth = self._build_truth(len(self._log))
-        is_stale = self._random.random() < STALE_BASE
-        base = max(0, truth.number - 1) if is_stale else truth.number
+        """Append a patch to the log, sometimes based on an outdated number."""
+        expected = self._build_expected_state(len(self._log))
+        is_stale = self._random.random() < STALE_BASE_PROBABILITY
+        base = max(0, expected.number - 1) if is_stale else expected.number
         operation = {
             "op": "replace",
             "path": f"/models/{MODEL}/version",
@@ -153,80 +165,86 @@
         }
         self._log.append(LogEntry(len(self._log) + 1, base, (operation,)))
 
-    def _show_more(self) -> None:
+    def _advance_replica(self) -> None:
         replica = self._pick_replica()
-        self._shown[replica] = self._random.randint(
-            min(self._shown[replica], len(self._log)), len(self._log)
+        self._visible_lengths[replica] = self._random.randint(
+            min(self._visible_lengths[replica], len(self._log)), len(self._log)
         )
 
     def _restore_platform(self) -> None:
-        """Bring the platform back with an older log, which then grows otherwise."""
+        """Restore the platform from an old backup, after which its log diverges."""
         if self._is_forking:
             del self._log[self._random.randint(0, len(self._log)) :]
-            del self._truths[len(self._log) + 1 :]
-        self._shown = [min(n, len(self._log)) for n in self._shown]
-        self._shown[self._pick_replica()] //= 2
+            del self._expected_states[len(self._log) + 1 :]
+        self._visible_lengths = [min(n, len(self._log)) for n in self._visible_lengths]
+        self._visible_lengths[self._pick_replica()] //= 2
 
     def _restart(self) -> None:
-        """Replace a host: it reads, asks peers and engines before it admits work."""
+        """Restart a host, which queries replica, peers and engines before serving."""
         host = _Host()
         self._hosts[self._random.randrange(HOSTS)] = host
         replica = self._pick_replica()
-        host.history.apply_snapshot(self._build_truth(self._shown[replica]))
+        host.history.apply_snapshot(
+            self._build_expected_state(self._visible_lengths[replica])
+        )
         for peer in self._hosts:
-            if peer is not host and self._random.random() > LOST:
-                self._give(peer.history, host.history)
+            if peer is not host and self._random.random() > LOSS_PROBABILITY:
+                self._answer_pull(peer.history, host.history)
         for engine in self._engines.values():
             host.history.raise_fencing_floor(engine.fencing)
 
     def _read_log(self, host: _Host, replica: int) -> int:
-        """Do what ConfigurationTask does with one replica; return its last entry."""
-        history, shown = host.history, self._shown[replica]
+        """Do what ConfigurationTask does with a replica; return its log length."""
+        history, visible = host.history, self._visible_lengths[replica]
         if history.state is None:
-            history.apply_snapshot(self._build_truth(shown))
-            return shown
+            history.apply_snapshot(self._build_expected_state(visible))
+            return visible
         last = history.get_last_entry()
         after = history.sequence if last is None else last.sequence - 1
-        if shown > history.sequence:
-            self._take(history, self._log[after:shown])
-        return shown
-
-    def _pull(self, asker: _Host, giver: _Host) -> None:
-        self._post(lambda: self._give(giver.history, asker.history))
-
-    def _give(self, giver: ConfigurationHistory, asker: ConfigurationHistory) -> None:
-        """Hand on what the asker lacks, as it is when the answer is made."""
-        if giver.state is None or giver.sequence <= asker.sequence:
+        if visible > history.sequence:
+            self._apply_entries(history, self._log[after:visible])
+        return visible
+
+    def _pull(self, requester: _Host, responder: _Host) -> None:
+        self._send(lambda: self._answer_pull(responder.history, requester.history))
+
+    def _answer_pull(
+        self, responder: ConfigurationHistory, requester: ConfigurationHistory
+    ) -> None:
+        """Send what the requester lacks at this time, as entries or a snapshot."""
+        if responder.state is None or responder.sequence <= requester.sequence:
             return
-        entries = giver.get_entries_after(asker.sequence)
-        if asker.sequence >= 0 and entries is not None:
+        entries = responder.get_entries_after(requester.sequence)
+        if requester.sequence >= 0 and entries is not None:
             data = encode_entries(entries)
-            self._post(lambda: self._take(asker, decode_entries(data)))
+            self._send(lambda: self._apply_entries(requester, decode_entries(data)))
         else:
-            state = giver.state
-            self._post(lambda: asker.apply_snapshot(state))
-
-    def _take(self, history: ConfigurationHistory, entries: list[LogEntry]) -> None:
-        """Take entries over, and push what was new to another host."""
-        taken = history.extend(entries)
-        new = [patch_result.entry for patch_result in taken.patch_results]
+            state = responder.state
+            self._send(lambda: requester.apply_snapshot(state))
+
+    def _apply_entries(
+        self, history: ConfigurationHistory, entries: list[LogEntry]
+    ) -> None:
+        """Apply entries and push the new ones to another host."""
+        result = history.extend(entries)
+        new = [patch_result.entry for patch_result in result.patch_results]
         if new:
             other = self._pick_host().history
-            self._post(lambda: self._take(other, new))
+            self._send(lambda: self._apply_entries(other, new))
 
-    def _post(self, message: Callable[[], Any]) -> None:
-        if self._random.random() < LOST:
+    def _send(self, message: Callable[[], Any]) -> None:
+        if self._random.random() < LOSS_PROBABILITY:
             return
-        copies = 2 if self._random.random() < DOUBLED else 1
-        self._mail.extend([message] * copies)
+        copies = 2 if self._random.random() < DUPLICATION_PROBABILITY else 1
+        self._in_flight.extend([message] * copies)
 
     def _deliver(self) -> None:
-        """Deliver any message that is under way, however old."""
-        if self._mail:
-            self._mail.pop(self._random.randrange(len(self._mail)))()
+        """Deliver a random message in flight, regardless of its age."""
+        if self._in_flight:
+            self._in_flight.pop(self._random.randrange(len(self._in_flight)))()
 
     def _order(self, host: _Host, name: str) -> None:
-        """Do what OrderTask does about one engine; the order may come late."""
+        """Do what OrderTask does for one engine; the order may arrive late."""
         state, engine = host.history.state, self._engines[name]
         if state is None or host.admitted is None:
             return
@@ -236,33 +254,35 @@
             case OrderDecision.CATCH_UP:
                 host.history.raise_fencing_floor(engine.fencing)
             case OrderDecision.SEND:
-                self._post(lambda: engine.take(order))
+                self._send(lambda: engine.apply(order))
             case OrderDecision.VERIFY_THEN_SEND:
                 newest = max(self._read_log(host, r) for r in range(REPLICAS))
                 is_same = host.history.state.number == order.fencing
                 if newest >= host.history.sequence and is_same:
-                    self._post(lambda: engine.take(order))
+                    self._send(lambda: engine.apply(order))
 
-    def _heal(self) -> None:
-        """End all faults: every host and engine must come to the log's own end."""
-        self._shown = [len(self._log)] * REPLICAS
-        truth = self._build_truth(len(self._log))
-        for _ in range(HEALING_ROUNDS):
+    def _check_convergence(self) -> None:
+        """Stop all faults; check that hosts and engines converge to the log."""
+        self._visible_lengths = [len(self._log)] * REPLICAS
+        expected = self._build_expected_state(len(self._log))
+        for _ in range(CONVERGENCE_ROUNDS):
             for host in self._hosts:
-                self._do(lambda h=host: self._read_log(h, 0))
+                self._run_action(lambda h=host: self._read_log(h, 0))
                 for name in self._engines:
-                    self._do(lambda h=host, n=name: self._order(h, n))
-            while self._mail:
-                self._do(self._deliver)
+                    self._run_action(lambda h=host, n=name: self._order(h, n))
+            while self._in_flight:
+                self._run_action(self._deliver)
         for host in self._hosts:
-            assert host.history.state == truth, "a host has not caught up"
-            assert host.admitted == truth.number, "a host does not admit work"
+            assert host.history.state == expected, "a host has not caught up"
+            assert host.admitted == expected.number, "a host does not admit work"
         for name, engine in self._engines.items():
-            order = build_orders(truth.configuration, truth.number)[name]
-            assert engine.fencing == order.fencing, f"{name} has an old order"
-            assert engine.models == order.build_body()["models"], f"{name} is not right"
+            order = build_orders(expected.configuration, expected.number)[name]
+            assert engine.fencing == order.fencing, f"{name} has an outdated order"
+            assert engine.models == order.build_body()["models"], (
+                f"{name} has the wrong models"
+            )
 
 
 def run_configuration_seed(seed: int) -> int:
-    """Run one seed; return its number of events, or raise what was violated."""
+    """Run one seed; return its number of events, or raise AssertionError."""
     return ConfigurationMachine(seed).run()
--- a/libraries/bench/tests/test_prove.py
+++ b/libraries/bench/tests/test_prove.py
@@ -1,4 +1,4 @@
-"""Tests of taking safeguards out, on a small workspace of their own."""
+"""Tests of the removal of safeguards, on a small workspace."""
 
 import re
 from dataclasses import replace
@@ -56,12 +56,12 @@
     return tmp_path
 
 
-def test_only_a_row_whose_tests_fail_without_the_safeguard_is_proved(root):
-    """A page says that a test stands for a safeguard; nobody has seen it fail.
+def test_row_is_proved_only_if_its_tests_fail_without_the_safeguard(root):
+    """A test listed for a safeguard may not cover it.
 
-    Rows that prove nothing must not pass: a test that passes without the safeguard, one
-    that fails with it too, one that is not there, lines that have changed since, and a
-    cut that leaves an undefined name, which fails any test.
+    A row must not pass if a test passes without the safeguard, fails with it too or
+    doesn't exist, if its lines have changed, or if the edit leaves an undefined name,
+    with which any test fails.
     """
     rows = [
         ROW,
@@ -83,18 +83,18 @@
     assert (root / ROW.file).read_text() == SOURCE
 
 
-def test_lines_must_stand_once_and_whole():
+def test_lines_must_occur_once_as_whole_lines():
     assert remove_safeguard(ROW, SOURCE).count("\n") == SOURCE.count("\n") - 2
-    with pytest.raises(RowError, match="stand 0 times"):
+    with pytest.raises(RowError, match="occur 0 times"):
         remove_safeguard(replace(ROW, lines="    if not"), SOURCE)
-    with pytest.raises(RowError, match="stand 2 times"):
+    with pytest.raises(RowError, match="occur 2 times"):
         remove_safeguard(ROW, SOURCE + SOURCE)
-    with pytest.raises(RowError, match="no Python"):
+    with pytest.raises(RowError, match="not valid Python"):
         remove_safeguard(replace(ROW, lines="        return 0"), SOURCE)
 
 
-def test_every_row_of_the_table_still_stands_in_the_code():
-    """A safeguard was rewritten since, and its row would be passed over unseen."""
+def test_every_row_of_the_table_applies_to_the_code():
+    """A row must follow when its safeguard or test changes."""
     rows = load_rows(ROOT / "docs/proofs.toml")
     assert len(rows) > 40
     for row in rows:
--- a/libraries/bench/tests/test_reach_runs.py
+++ b/libraries/bench/tests/test_reach_runs.py
@@ -1,4 +1,4 @@
-"""Proof that the randomised runs of targets in doubt see faults."""
+"""Tests that the simulation of target health detects faults."""
 
 import pytest
 
@@ -9,20 +9,20 @@
 SEEDS = range(1, 16)
 
 
-def probe_nothing(reach, registered, now):
+def probe_nothing(tracker, registered, now):
     return []
 
 
-def select_all(reach, targets, now):
+def select_all(tracker, targets, now):
     return targets
 
 
-def probe_the_first(reach, domain, doubt, registered, now):
+def probe_first_targets(tracker, domain, ejection, registered, now):
     return [each for each in registered if each.failure_domain == domain][:2]
 
 
 @pytest.mark.parametrize("seed", [*SEEDS, 10, 14, 19, 28])
-def test_a_sound_target_comes_back_and_a_dead_one_gets_little(seed):
+def test_healthy_target_is_restored_and_unhealthy_one_gets_few_requests(seed):
     assert not run_seed("reach", seed).violation
 
 
@@ -31,12 +31,14 @@
     [
         (TargetHealthTracker, "take_due_probes", probe_nothing),
         (TargetHealthTracker, "select", select_all),
-        (TargetHealthTracker, "_pick_domain_probes", probe_the_first),
+        (TargetHealthTracker, "_pick_domain_probes", probe_first_targets),
         (c, "EJECTION_MAX_SECONDS", 30.0),
         (c, "REQUEST_TRIAL_MAX_EJECTION_SECONDS", 30.0),
         (c, "REQUEST_TRIAL_MAX_EJECTION_SECONDS", 0.05),
     ],
 )
-def test_a_view_without_a_safeguard_is_found_out(monkeypatch, owner, name, fault):
+def test_health_tracking_without_a_safeguard_violates_a_bound(
+    monkeypatch, owner, name, fault
+):
     monkeypatch.setattr(owner, name, fault)
     assert any(run_seed("reach", seed).violation for seed in SEEDS)
