--- a/libraries/bench/tarragonward_bench/days/losses.py
+++ b/libraries/bench/tarragonward_bench/days/losses.py
@@ -73,10 +73,10 @@
     @property
     def is_late(self) -> bool:
         """Return whether the first event, or the answer to a call, came too late."""
-        taken = self.first
-        if taken is None and not self.prompt_tokens and self.outcome == ANSWERED:
-            taken = self.seconds
-        return taken is None or taken > self.aim
+        elapsed = self.first
+        if elapsed is None and not self.prompt_tokens and self.outcome == ANSWERED:
+            elapsed = self.seconds
+        return elapsed is None or elapsed > self.aim
 
     @property
     def has_long_pause(self) -> bool:
--- a/libraries/bench/tarragonward_bench/demo.py
+++ b/libraries/bench/tarragonward_bench/demo.py
@@ -138,26 +138,26 @@
         if end.key:
             self._conclusions[end.key] = end.conclusion
         if end.outcome is not Outcome.WHOLE:
-            told = end.conclusion.value
-            print(f"progress call={end.outcome.value} told={told!r} {end.detail}")
+            conclusion = end.conclusion.value
+            print(f"progress call={end.outcome.value} told={conclusion!r} {end.detail}")
 
     async def _async_count_leaked_tokens(self) -> int:
         loop = asyncio.get_running_loop()
         give_up_at = loop.time() + MAX_RELEASE_SECONDS
         while True:
-            held = await self._async_count_held_tokens()
-            if held == 0 or loop.time() > give_up_at:
-                return held
+            held_tokens = await self._async_count_held_tokens()
+            if held_tokens == 0 or loop.time() > give_up_at:
+                return held_tokens
             await asyncio.sleep(RELEASE_POLL_SECONDS)
 
     async def _async_count_held_tokens(self) -> int:
-        held = 0
+        held_tokens = 0
         for address in self._site.engines.values():
             with suppress(TargetError):
                 answer = await async_send_http(address, "GET", "/v1/load", timeout=2.0)
                 report = answer.parse_json()
-                held += report["kv_tokens"] - report["free_kv_tokens"]
-        return held
+                held_tokens += report["kv_tokens"] - report["free_kv_tokens"]
+        return held_tokens
 
     async def _async_count_duplicate_runs(self) -> int:
         """Return how many calls ran more than once.
@@ -169,9 +169,9 @@
             answer = await async_send_http(address, "GET", "/runs", timeout=2.0)
             runs.update(answer.parse_json())
         for key, conclusion in self._conclusions.items():
-            ran_untold = conclusion is Conclusion.NOT_RUN and runs[key] > 0
-            told_unrun = conclusion is Conclusion.RUN and runs[key] == 0
-            self._score["wrong"] += ran_untold or told_unrun
+            ran_despite_not_run = conclusion is Conclusion.NOT_RUN and runs[key] > 0
+            not_run_despite_run = conclusion is Conclusion.RUN and runs[key] == 0
+            self._score["wrong"] += ran_despite_not_run or not_run_despite_run
         return sum(count > 1 for key, count in runs.items() if key)
 
     def _print_table(self) -> None:
--- a/libraries/bench/tarragonward_bench/faults.py
+++ b/libraries/bench/tarragonward_bench/faults.py
@@ -125,21 +125,23 @@
     def get_success_rate(self) -> float:
         """Return the success rate of requests sent or in progress during the fault."""
         affected = [
-            whole
-            for sent, whole, taken in self.ended
-            if sent <= FAULT_SECONDS and sent + taken >= 0
+            is_complete
+            for sent, is_complete, duration in self.ended
+            if sent <= FAULT_SECONDS and sent + duration >= 0
         ]
         return sum(affected) / max(len(affected), 1)
 
     def get_recovery_seconds(self) -> float:
         """Return the seconds from the fault to the last request that failed."""
-        failed = [sent for sent, whole, _ in self.ended if not whole]
+        failed = [sent for sent, is_complete, _ in self.ended if not is_complete]
         return max([0.0, *failed])
 
     def get_p95_seconds(self) -> float:
         """Return the 95th percentile of the duration of successful requests."""
-        taken = sorted(taken for _, whole, taken in self.ended if whole)
-        return taken[int(len(taken) * 0.95)] if taken else 0.0
+        durations = sorted(
+            duration for _, is_complete, duration in self.ended if is_complete
+        )
+        return durations[int(len(durations) * 0.95)] if durations else 0.0
 
 
 async def async_measure(folder: Path, system: str, name: str) -> Score:
--- a/libraries/bench/tarragonward_bench/platform_troubles.py
+++ b/libraries/bench/tarragonward_bench/platform_troubles.py
@@ -47,8 +47,8 @@
 # Engines so small that a few prompts exceed the memory of one.
 SIZES = PassSizes(memory_tokens=60_000)
 HUGE_PER_SECOND = 1.5
-LINK_DELAY_SECONDS = 0.02
-LOST_SHARE = 0.03
+PACKET_DELAY_SECONDS = 0.02
+PACKET_LOSS_RATE = 0.03
 # The day waits this long for the release of engine memory; docs/PLATFORM.md gives the
 # limit for it.
 MAX_RELEASE_SECONDS = 4.5
@@ -223,29 +223,29 @@
         host.process.send_signal(signal.SIGCONT)
 
     async def _async_lose_packets(self) -> None:
-        links = self._list_links(self._list_runners())
-        links += [host.store_endpoint.proxy for host in self._site.hosts]
-        for link in links:
-            link.faults.delay_seconds = LINK_DELAY_SECONDS
-            link.faults.packet_loss_rate = LOST_SHARE
+        proxies = self._list_proxies(self._list_runners())
+        proxies += [host.store_endpoint.proxy for host in self._site.hosts]
+        for proxy in proxies:
+            proxy.faults.delay_seconds = PACKET_DELAY_SECONDS
+            proxy.faults.packet_loss_rate = PACKET_LOSS_RATE
         await asyncio.sleep(FAULT_SECONDS)
-        for link in links:
-            link.faults.delay_seconds = link.faults.packet_loss_rate = 0.0
+        for proxy in proxies:
+            proxy.faults.delay_seconds = proxy.faults.packet_loss_rate = 0.0
 
     async def _async_cut_domain(self) -> None:
         zone = self._random.choice(self._site.plan.zones)
-        links = self._list_links(
+        proxies = self._list_proxies(
             [r for r in self._list_runners() if r.plan.zone == zone]
         )
-        for link in links:
-            link.faults.frozen = True
+        for proxy in proxies:
+            proxy.faults.frozen = True
         await asyncio.sleep(FAULT_SECONDS)
-        for link in links:
-            link.faults.frozen = False
+        for proxy in proxies:
+            proxy.faults.frozen = False
 
     async def _async_silence_target(self) -> None:
-        for link in self._list_links([self._random.choice(self._list_runners())]):
-            link.blackhole_open_connections()
+        for proxy in self._list_proxies([self._random.choice(self._list_runners())]):
+            proxy.blackhole_open_connections()
 
     async def _async_silence_store(self) -> None:
         self._random.choice(
@@ -269,7 +269,7 @@
         runner.set_rate_limit(None)
 
     @staticmethod
-    def _list_links(runners: Iterable[PlatformRunner]) -> list[FaultProxy]:
+    def _list_proxies(runners: Iterable[PlatformRunner]) -> list[FaultProxy]:
         return [runner.proxy for runner in runners if runner.proxy is not None]
 
     def _list_runners(self) -> list[PlatformRunner]:
@@ -290,8 +290,8 @@
         errors = day.find_errors()
         ends = {k: v for k, v in report.score.items() if k.startswith("status_")}
         rules = dict(Counter(rule for rule, _ in report.violations))
-        held = sum(len(model.reservation_log.records) for model in site.models)
-        line = f"{report.format_line()} reservations={held}"
+        reservations = sum(len(model.reservation_log.records) for model in site.models)
+        line = f"{report.format_line()} reservations={reservations}"
         print(f"seed={seed} {line} {day.drawn} {ends} {rules}")
         for line in (*errors[:5], *map(str, report.violations[:5])):
             print(f"    {line[:300]}")
--- a/libraries/bench/tarragonward_bench/soak.py
+++ b/libraries/bench/tarragonward_bench/soak.py
@@ -26,8 +26,8 @@
 
 SECONDS_PER_MINUTE = 60.0
 
-# Takes a seed, runs a simulation and returns the number of events. Raises AssertionError
-# or InvariantViolationError if a guarantee or an invariant is violated.
+# Runs a simulation with a seed and returns the number of events. Raises
+# AssertionError or InvariantViolationError if a guarantee or an invariant is violated.
 Machine = Callable[[int], int]
 MACHINES: dict[str, Machine] = {
     "budget": run_budget_seed,
--- a/libraries/bench/tarragonward_bench/soak_calls.py
+++ b/libraries/bench/tarragonward_bench/soak_calls.py
@@ -40,8 +40,8 @@
         runs_by_key: Counter[str] = Counter()
         for (key, _), count in self.runs.items():
             runs_by_key[key] += count
-        doubled = [key for key, count in runs_by_key.items() if count > 1]
-        assert not doubled, f"calls ran more than once: {doubled}"
+        duplicate_runs = [key for key, count in runs_by_key.items() if count > 1]
+        assert not duplicate_runs, f"calls ran more than once: {duplicate_runs}"
         answers: dict[str, RecordedAnswer] = {}
         for key, body, reply in self.replies:
             runs = self.runs[key, body]
--- a/libraries/bench/tarragonward_bench/soak_configuration.py
+++ b/libraries/bench/tarragonward_bench/soak_configuration.py
@@ -71,11 +71,11 @@
 class _Host:
     """Incarnation of a host.
 
-    admitted is the number of the configuration it serves by, None before it serves.
+    serving_number is the configuration it serves by, None before it admits work.
     """
 
     history: ConfigurationHistory = field(default_factory=ConfigurationHistory)
-    admitted: int | None = None
+    serving_number: int | None = None
 
 
 class ConfigurationMachine:
@@ -124,12 +124,14 @@
         """Admit work if allowed; check that the configuration never goes back."""
         state = host.history.state
         if state is None or (
-            host.admitted is None and host.history.is_below_fencing_floor
+            host.serving_number is None and host.history.is_below_fencing_floor
         ):
             return
-        floor = host.history.floor if host.admitted is None else host.admitted
+        floor = (
+            host.history.floor if host.serving_number is None else host.serving_number
+        )
         assert state.number >= floor, "the configuration number decreased"
-        host.admitted = state.number
+        host.serving_number = state.number
         if not self._is_forking:
             expected = self._build_expected_state(state.sequence)
             assert compute_digest(state) == compute_digest(expected), (
@@ -246,7 +248,7 @@
     def _order(self, host: _Host, name: str) -> None:
         """Do what OrderTask does for one engine; the order may arrive late."""
         state, engine = host.history.state, self._engines[name]
-        if state is None or host.admitted is None:
+        if state is None or host.serving_number is None:
             return
         order = build_orders(state.configuration, state.number)[name]
         reported = EngineOrderState(engine.fencing, engine.models)
@@ -274,7 +276,7 @@
                 self._run_action(self._deliver)
         for host in self._hosts:
             assert host.history.state == expected, "a host has not caught up"
-            assert host.admitted == expected.number, "a host does not admit work"
+            assert host.serving_number == expected.number, "a host does not admit work"
         for name, engine in self._engines.items():
             order = build_orders(expected.configuration, expected.number)[name]
             assert engine.fencing == order.fencing, f"{name} has an outdated order"
