--- a/libraries/bench/tarragonward_bench/harm/limits.py
+++ b/libraries/bench/tarragonward_bench/harm/limits.py
@@ -21,8 +21,8 @@
 SETTLED_SECONDS = 3.0
 NOTICE_SECONDS = 0.5
 WINDOW_SECONDS = 4.0
-MAX_EXCESS_FACTOR = 1.5
-MAX_EXCESS_REQUESTS = 5
+ALLOWED_RATE_FACTOR = 1.5
+ALLOWED_EXTRA_REQUESTS = 5
 ANSWER_SECONDS = (0.005, 0.3)
 WARM_UP_SECONDS = 4.0
 RATES = (0.1, 0.5, 1.0, 1.0, 3.0, 20.0)
@@ -147,7 +147,7 @@
     def describe(self) -> str:
         """Return the run's figures."""
         return (
-            f"limits asked={self.request_count} refused={self.refused} "
+            f"limits asked={self.request_count} refused={self.refused_count} "
             f"limited_sends={self.limited_sends} allowed={self.allowed:.0f}"
         )
 
@@ -174,7 +174,9 @@
     def _check(self, target: _Target) -> None:
         if target.rate is None:
             return
-        allowed = MAX_EXCESS_FACTOR * target.rate * WINDOW_SECONDS + MAX_EXCESS_REQUESTS
+        allowed = (
+            ALLOWED_RATE_FACTOR * target.rate * WINDOW_SECONDS + ALLOWED_EXTRA_REQUESTS
+        )
         max_sends = count_max_in_window(sorted(target.counted_sends), WINDOW_SECONDS)
         if max_sends > allowed:
             self.violations.append(
--- a/libraries/bench/tarragonward_bench/harm/troubles.py
+++ b/libraries/bench/tarragonward_bench/harm/troubles.py
@@ -16,7 +16,7 @@
 
 
 class FaultInjector:
-    """Injects kills, restarts, pauses and partitions, which may overlap."""
+    """Injects random kills, pauses and partitions, which may overlap, until a time."""
 
     def __init__(
         self, fleet: GossipFleet, start_host: Callable[[int], GossipHost], until: float
--- a/libraries/bench/tarragonward_bench/hearing/runs.py
+++ b/libraries/bench/tarragonward_bench/hearing/runs.py
@@ -319,11 +319,11 @@
         )
 
     def _pause_hosts(self) -> None:
-        duration = self.world.now + self.random.uniform(0.3, 4.0)
+        paused_until = self.world.now + self.random.uniform(0.3, 4.0)
         numbers = self._select_hosts()
         for number in numbers:
-            self.fleet.hosts[build_address(number)].pause(duration)
-        self._disturb(numbers, duration)
+            self.fleet.hosts[build_address(number)].pause(paused_until)
+        self._disturb(numbers, paused_until)
 
     def _restart_hosts(self) -> None:
         is_with_source_down = self.random.random() < 0.3
@@ -422,8 +422,10 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--start", type=float, default=START_SECONDS, help="seconds")
     parser.add_argument("--changes", type=float, default=1.0, help="per second")
-    parser.add_argument("--targets", type=int, default=TARGETS_PER_HOST, help="a host")
-    parser.add_argument("--reads", type=float, default=float("inf"), help="a second")
+    parser.add_argument(
+        "--targets", type=int, default=TARGETS_PER_HOST, help="per host"
+    )
+    parser.add_argument("--reads", type=float, default=float("inf"), help="per second")
     parser.add_argument("--link", type=float, default=LINK_BYTES_PER_SECOND)
     parser.add_argument(
         "--read-table", type=int, default=TARGET_RECORD_BYTES, help="bytes"
--- a/libraries/bench/tests/test_experiment.py
+++ b/libraries/bench/tests/test_experiment.py
@@ -242,11 +242,11 @@
     large = scale_site(site, 36, 24, load=LARGE_LOAD)
     run = run_seed(large, POLICIES["product"], 1, SECONDS)
     zones = {engine.name: engine.zone for engine in run.engines}
-    read = [o for o in run.outcomes if o.prefill_engines and o.sends == 1]
+    placed = [o for o in run.outcomes if o.prefill_engines and o.sends == 1]
     outside_cell = [
-        o for o in read if len({zones[name] for name in o.prefill_engines}) > 1
+        o for o in placed if len({zones[name] for name in o.prefill_engines}) > 1
     ]
-    assert len(outside_cell) <= len(read) / 20
+    assert len(outside_cell) <= len(placed) / 20
 
 
 def test_burst_of_long_prompts_in_one_domain_uses_engines_of_others():
