--- a/libraries/cli/tarragonward_cli/call.py
+++ b/libraries/cli/tarragonward_cli/call.py
@@ -30,25 +30,25 @@
 __all__ = ["CallCommand"]
 
 KEY_BYTES = 8
-# Said by the key's owner only, and final for the key. Other refusals speak of one
-# sending: an earlier one with the same key may have run.
+# Sent only by the key's owner, and final for the key. Other refusals concern a single
+# attempt: an earlier attempt with the same key may have run.
 FINAL_FOR_KEY = (ResultCode.CALL_NOT_RUN, ResultCode.TARGET_REFUSED)
-REPEATS = (Repeat.AFTER_DELAY, Repeat.SAME_KEY)
+RETRYABLE = (Repeat.AFTER_DELAY, Repeat.SAME_KEY)
 
 
 @dataclass
 class CallProgress:
-    """What is known of a call; may_have_run once a sending's end was not seen."""
+    """State of a call; may_have_run is set once an attempt's outcome is unknown."""
 
     key: str
     may_have_run: bool = False
     unknown_answers: int = 0
-    last: str = "the time limit is over"
+    last_error: str = "the time limit is over"
     code: ResultCode | None = None
 
 
 class CallCommand(ToolCommand):
-    """Call an operation; it repeats by itself, always safely."""
+    """Call an operation, with retries that cannot run it twice."""
 
     name = "call"
     description = "Calls an operation of a plain service, at most once."
@@ -80,7 +80,7 @@
 5 run, and the service answered with an error."""
 
     async def async_run(self) -> int:
-        """Send the call until its outcome is known or the time limit is over."""
+        """Retry the call until its outcome is known or the time limit has passed."""
         token, body = self.read_token(c.ENV_TOKEN), self._read_body()
         cycle = HostCycle(self.get_hosts(), self.read_number("time-limit"))
         key = self.option("key")
@@ -91,18 +91,18 @@
             try:
                 answer = await self._async_send(host, token, body, cycle, progress.key)
             except TargetError as err:
-                progress.last = f"{host}: {err}"
+                progress.last_error = f"{host}: {err}"
                 if not isinstance(err, NotConnectedError):
                     progress.may_have_run = True
             else:
                 if answer.headers.get(c.HEADER_RESULT_CODE) == "0":
-                    return self._end_run(answer, progress)
+                    return self._finish_run(answer, progress)
                 problem = read_problem(answer)
-                if not await self._async_go_on(problem, progress, cycle, token):
+                if not await self._async_should_retry(problem, progress, cycle, token):
                     break
                 wait = problem.retry_after
             await cycle.async_wait(wait)
-        return self._end_without_answer(progress)
+        return self._finish_without_answer(progress)
 
     def _read_body(self) -> bytes:
         if self.option("body-file"):
@@ -134,11 +134,11 @@
             timeout=cycle.remaining,
         )
 
-    async def _async_go_on(
+    async def _async_should_retry(
         self, problem: Problem, progress: CallProgress, cycle: HostCycle, token: str
     ) -> bool:
-        """Note a numbered error; return whether to send again."""
-        progress.code, progress.last = problem.code, str(problem)
+        """Record a numbered error; return whether to retry."""
+        progress.code, progress.last_error = problem.code, str(problem)
         if problem.code in FINAL_FOR_KEY:
             progress.may_have_run = False
             if self.option("key"):
@@ -148,10 +148,10 @@
         if problem.code.conclusion is not Conclusion.NOT_RUN:
             progress.may_have_run = True
             progress.unknown_answers += 1
-        is_tired = progress.unknown_answers >= c.UNKNOWN_OUTCOME_TRIES
-        return problem.code.repeat in REPEATS and not is_tired
+        is_exhausted = progress.unknown_answers >= c.MAX_UNKNOWN_OUTCOMES
+        return problem.code.repeat in RETRYABLE and not is_exhausted
 
-    def _end_run(self, answer: HttpAnswer, progress: CallProgress) -> int:
+    def _finish_run(self, answer: HttpAnswer, progress: CallProgress) -> int:
         text = answer.body.decode("utf-8", "replace")
         if self.option("json"):
             self._print_outcome(Conclusion.RUN, ResultCode.OK, progress, answer, text)
@@ -160,13 +160,15 @@
             self.line_error(f"outcome run, code 0 OK, status {answer.status}")
         return c.EXIT_TARGET_ERROR if answer.status >= 400 else c.EXIT_OK
 
-    def _end_without_answer(self, progress: CallProgress) -> int:
+    def _finish_without_answer(self, progress: CallProgress) -> int:
         conclusion = Conclusion.NOT_RUN
         if progress.may_have_run:
             conclusion = Conclusion.UNKNOWN
         if self.option("json"):
             self._print_outcome(conclusion, progress.code, progress, None, "")
-        self.line_error(f"outcome {conclusion.value}, {progress.last}", style="error")
+        self.line_error(
+            f"outcome {conclusion.value}, {progress.last_error}", style="error"
+        )
         if progress.may_have_run:
             return c.EXIT_UNKNOWN_OUTCOME
         return c.EXIT_NO_HOST if progress.code is None else c.EXIT_FAILED
--- a/libraries/cli/tarragonward_cli/client.py
+++ b/libraries/cli/tarragonward_cli/client.py
@@ -1,4 +1,4 @@
-"""Ask hosts in turn until one gives a final answer or the time is over."""
+"""Send requests to hosts in turn until one gives a final answer or time runs out."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 __all__ = ["HostCycle", "Problem", "async_ask_any", "build_headers", "read_problem"]
 
-REPEATS_ANYWHERE = (Repeat.AFTER_DELAY,)
+RETRYABLE_ANYWHERE = (Repeat.AFTER_DELAY,)
 
 
 @dataclass(frozen=True)
 class Problem:
-    """A numbered error as a host gave it; retry_after is in seconds."""
+    """A numbered error from a host; retry_after is in seconds."""
 
     code: ResultCode
     message: str
     retry_after: float
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether the same request may go to another host."""
-        return self.code.repeat in REPEATS_ANYWHERE
+        return self.code.repeat in RETRYABLE_ANYWHERE
 
     def __str__(self) -> str:
         conclusion = self.code.conclusion.value
@@ -38,32 +38,32 @@
 
 
 class HostCycle:
-    """The hosts in an order of their own for each command, with growing waits.
+    """Iterates over the hosts in random order, with exponential backoff.
 
-    All hosts are tried once without a wait, then the waits double: callers that lost
-    one host don't all come to the next one, again and again, at the same moment.
+    Each host is tried once without delay, then the delays double. The random order and
+    the jitter keep callers that lost a host from hitting the next one simultaneously.
     """
 
     def __init__(self, hosts: list[Address], time_limit: float) -> None:
         self._hosts = random.sample(hosts, len(hosts))
         self._deadline = asyncio.get_running_loop().time() + time_limit
-        self._tries = 0
+        self._attempts = 0
         self._backoff = c.FIRST_BACKOFF_SECONDS
 
     @property
     def remaining(self) -> float:
-        """Return the seconds left of the time limit."""
+        """Return the remaining seconds of the time limit."""
         return self._deadline - asyncio.get_running_loop().time()
 
     def __iter__(self) -> Iterator[Address]:
-        """Give hosts while there is time."""
+        """Yield hosts until the time limit has passed."""
         while self.remaining > 0:
-            yield self._hosts[self._tries % len(self._hosts)]
-            self._tries += 1
+            yield self._hosts[self._attempts % len(self._hosts)]
+            self._attempts += 1
 
     async def async_wait(self, at_least: float = 0.0) -> None:
-        """Wait before the next host: not at all in the first round."""
-        if (self._tries + 1) % len(self._hosts):
+        """Wait before the next host; no delay within a round."""
+        if (self._attempts + 1) % len(self._hosts):
             return
         wait = max(at_least, self._backoff * random.uniform(0.5, 1.0))
         self._backoff = min(2 * self._backoff, c.MAX_BACKOFF_SECONDS)
@@ -71,7 +71,7 @@
 
 
 def build_headers(token: str, remaining: float, **headers: str) -> dict[str, str]:
-    """Return a request's headers; names are given with _ for -."""
+    """Return a request's headers; keyword names use _ for -."""
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     return {
         "authorization": f"Bearer {token}",
@@ -81,7 +81,7 @@
 
 
 def read_problem(answer: HttpAnswer) -> Problem:
-    """Return the numbered error in an answer, whatever else answers in its place."""
+    """Return the numbered error of an answer, or INTERNAL_ERROR if it has none."""
     try:
         error: dict[str, Any] = answer.parse_json()["error"]
         code = ResultCode.from_number(error["code"])
@@ -97,8 +97,8 @@
 
 
 async def async_ask_any(cycle: HostCycle, token: str, method: str, path: str) -> Any:
-    """Return the JSON of the first host that answers; only for what runs nothing."""
-    last = "the time limit is over"
+    """Return the JSON of the first host that answers; for safe requests only."""
+    last_error = "the time limit is over"
     for host in cycle:
         headers = build_headers(token, cycle.remaining)
         try:
@@ -106,14 +106,14 @@
                 host, method, path, headers=headers, timeout=cycle.remaining
             )
         except TargetError as err:
-            last = f"{host}: {err}"
+            last_error = f"{host}: {err}"
             await cycle.async_wait()
             continue
         if answer.status == 200:
             return answer.parse_json()
         problem = read_problem(answer)
-        if not problem.is_repeatable:
+        if not problem.is_retryable:
             raise RefusedError(f"{host}: {problem}")
-        last = f"{host}: {problem}"
+        last_error = f"{host}: {problem}"
         await cycle.async_wait(problem.retry_after)
-    raise HostsUnreachableError(last)
+    raise HostsUnreachableError(last_error)
--- a/libraries/cli/tarragonward_cli/codes.py
+++ b/libraries/cli/tarragonward_cli/codes.py
@@ -11,7 +11,7 @@
 
 
 class CodesCommand(ToolCommand):
-    """Print each result code, what may be concluded, and whether to repeat."""
+    """Print each result code, its conclusion, and whether to retry."""
 
     name = "codes"
     description = "Shows the table of result codes."
--- a/libraries/cli/tarragonward_cli/command.py
+++ b/libraries/cli/tarragonward_cli/command.py
@@ -1,4 +1,4 @@
-"""Hold what all commands share: options, tokens, output and exit codes."""
+"""Base class of the commands: common options, tokens, output and exit codes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def make_host_option(default: str, kind: str) -> Any:
-    """Return the option that names hosts, given once for each."""
+    """Return the repeatable option that names hosts."""
     return option(
         "host",
         None,
@@ -51,7 +51,7 @@
 
 
 class ToolCommand(Command):
-    """A command whose errors end it with a message and a documented exit code."""
+    """A command that reports errors by a message and a documented exit code."""
 
     def handle(self) -> int:
         """Run the command; return its exit code."""
@@ -62,7 +62,7 @@
             return err.exit_code
 
     async def async_run(self) -> int:
-        """Do the command's work; return its exit code or raise ToolError."""
+        """Execute the command; return its exit code or raise ToolError."""
         raise NotImplementedError
 
     def get_hosts(self) -> list[Address]:
@@ -73,7 +73,7 @@
             raise UsageError(f"--host: {err}") from None
 
     def read_token(self, variable: str) -> str:
-        """Return the token; never from the command line, which others can list."""
+        """Return the token; never from the command line, which other users can see."""
         file = self.option("token-file")
         if not file:
             token = os.environ.get(variable, "")
@@ -101,16 +101,16 @@
         return value
 
     def print_json(self, data: Any) -> None:
-        """Print data for other programs."""
+        """Print data as JSON."""
         self.write_text(json.dumps(data, indent=2, ensure_ascii=False) + "\n")
 
     def write_text(self, text: str) -> None:
-        """Print text as it is: an answer may hold what cleo takes for a style."""
+        """Print text verbatim; an answer may contain cleo style tags."""
         self.io.write(text, type=OutputType.RAW)
         self.io.flush()
 
     def print_table(self, rows: list[dict[str, Any]]) -> None:
-        """Print rows under the names of their fields."""
+        """Print rows as a table with a header."""
         names = list(rows[0]) if rows else []
         lines = [[str(row[name]) for name in names] for row in rows]
         widths = [
--- a/libraries/cli/tarragonward_cli/config.py
+++ b/libraries/cli/tarragonward_cli/config.py
@@ -1,4 +1,4 @@
-"""Show the configuration in force and what a patch would change."""
+"""Commands that show the current configuration and what a patch would change."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class ConfigCommand(ToolCommand):
-    """Read the configuration in force from a host or a file."""
+    """Base of the commands that read the configuration from a host or a file."""
 
     options = CONFIG_OPTIONS
     help = HELP
@@ -88,7 +88,7 @@
     description = "Shows the configuration in force and its number."
 
     async def async_run(self) -> int:
-        """Print it."""
+        """Print the configuration; return the exit code."""
         state = await self.async_read_state()
         self.print_json(
             {
@@ -101,7 +101,7 @@
 
 
 class ConfigCheckCommand(ConfigCommand):
-    """Say what would become of a patch, and why."""
+    """Print whether a patch would be accepted, and why."""
 
     name = "config check"
     description = "Checks a patch against the number it was written for."
@@ -175,7 +175,7 @@
 
 
 def list_changes(old: Any, new: Any, path: str = "") -> Iterator[dict[str, Any]]:
-    """Give each value that differs, by its path, as old and new; None is no value."""
+    """Yield each differing value by path, as old and new; None means absent."""
     if old == new:
         return
     if not (isinstance(old, dict) and isinstance(new, dict)):
--- a/libraries/cli/tarragonward_cli/const.py
+++ b/libraries/cli/tarragonward_cli/const.py
@@ -1,4 +1,4 @@
-"""Hold the tool's exit codes, defaults and environment variables."""
+"""Exit codes, defaults and environment variables of the tool."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 ROUTE_TARGETS = "/v1/targets"
 
 FIRST_BACKOFF_SECONDS = 0.2
-# A host's own error at the end of the time limit is worth this wait.
+# Extra wait at the end of the time limit for the host's own error.
 GRACE_SECONDS = 1.0
 MAX_BACKOFF_SECONDS = 2.0
 OPERATORS_TIMEOUT_SECONDS = 5.0
-UNKNOWN_OUTCOME_TRIES = 5
+MAX_UNKNOWN_OUTCOMES = 5
 
-# Exit codes; the table stands in docs/OPERATIONS.md.
+# Exit codes; documented in docs/OPERATIONS.md.
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_USAGE = 2
--- a/libraries/cli/tarragonward_cli/exceptions.py
+++ b/libraries/cli/tarragonward_cli/exceptions.py
@@ -1,4 +1,4 @@
-"""Hold the tool's own errors, each with the exit code that it ends with."""
+"""Exceptions of the tool, each with its exit code."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class ToolError(TarragonwardError):
-    """Be the root of what ends a command with a message and an exit code."""
+    """Base of errors that end a command with a message and an exit code."""
 
     exit_code = EXIT_FAILED
 
 
 class UsageError(ToolError):
-    """Report an option, file or variable that is missing or not valid."""
+    """An option, file or variable is missing or invalid."""
 
     exit_code = EXIT_USAGE
 
 
 class HostsUnreachableError(ToolError):
-    """Report that none of the hosts gave an answer."""
+    """No host answered."""
 
     exit_code = EXIT_NO_HOST
 
 
 class RefusedError(ToolError):
-    """Report a numbered answer that ends the command."""
+    """A host answered with a numbered error that ends the command."""
--- a/libraries/cli/tarragonward_cli/explain.py
+++ b/libraries/cli/tarragonward_cli/explain.py
@@ -1,4 +1,4 @@
-"""Show what became of a request, from the hosts' logs."""
+"""Command that reconstructs the course of a request from the hosts' logs."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 EVENT_END_DECIDED = "end_decided"
 EVENT_ENDED = "request_ended"
 EVENT_DROPPED = "log_lines_dropped"
-ABOUT_TARGETS = ("target_registered", "target_withdrawn")
-# What holds until a later event of the same group. A host that leaves, or that has
-# lost its source, says so once; the requests that it refuses for it come later.
-GROUPS = {
+TARGET_EVENTS = ("target_registered", "target_withdrawn")
+# Events that set a state which holds until the next event of the same group. A host
+# that drains or has lost its source logs it once; requests it refuses come later.
+STATE_GROUPS = {
     "host_started": "life",
     "drain_started": "life",
     "source_lost": "source",
     "source_regained": "source",
     "table_in_force": "table",
 }
-# How long before a request what its hosts heard is still of interest.
-BEFORE_SECONDS = 3.0
-MAX_MEANWHILE = 20
+# How long before a request the events of its hosts are shown.
+CONTEXT_SECONDS = 3.0
+MAX_MEANWHILE_LINES = 20
 MEANINGS = {
     "answered": "the caller got a target's answer",
     "broken off": "the answer was cut visibly, after its last_event",
@@ -38,22 +38,26 @@
     "failed here": "a fault of the program, or the caller's connection broke",
 }
 
-Timed = tuple[float, LogLine]
+TimedLine = tuple[float, LogLine]
 
 
 @dataclass(frozen=True)
 class Explanation:
-    """A request's lines, what its hosts heard meanwhile, and what ended it."""
+    """A request's log lines and the related events of its hosts.
 
-    trail: tuple[Timed, ...]
-    standing: tuple[Timed, ...]
-    meanwhile: tuple[Timed, ...]
-    targets: tuple[Timed, ...]
+    standing: states set before the request that still held; meanwhile: events around
+    it; targets: events of the targets it used.
+    """
+
+    trail: tuple[TimedLine, ...]
+    standing: tuple[TimedLine, ...]
+    meanwhile: tuple[TimedLine, ...]
+    targets: tuple[TimedLine, ...]
     lines_dropped: int
 
     @property
     def end(self) -> LogLine | None:
-        """Return the line of the decision that ended the request."""
+        """Return the line of the event that ended the request."""
         for event in (EVENT_END_DECIDED, EVENT_ENDED):
             found = [line for _, line in self.trail if line.event == event]
             if found:
@@ -62,19 +66,19 @@
 
     @property
     def outcome(self) -> str:
-        """Return what the caller was left with, in the log's words."""
+        """Return the outcome for the caller, as logged."""
         ended = [line for _, line in self.trail if line.event == EVENT_ENDED]
         line = ended[-1] if ended else self.end
         return line.fields.get("outcome", "") if line else ""
 
 
 def explain(request_id: str, lines: list[LogLine]) -> Explanation:
-    """Return what the lines of all hosts say about a request."""
+    """Collect what the logs of all hosts contain about a request."""
     ordered = order_lines(lines)
     trail = tuple(pair for pair in ordered if pair[1].request_id == request_id)
     hosts = {line.host for _, line in trail}
     targets = {line.fields["target"] for _, line in trail if "target" in line.fields}
-    begin = trail[0][0] - BEFORE_SECONDS if trail else 0.0
+    begin = trail[0][0] - CONTEXT_SECONDS if trail else 0.0
     end = trail[-1][0] if trail else float("inf")
     others = [
         (at, line)
@@ -85,7 +89,7 @@
     return Explanation(
         trail=trail,
         standing=_find_standing(others, begin),
-        meanwhile=tuple(p for p in near if p[1].event not in ABOUT_TARGETS),
+        meanwhile=tuple(p for p in near if p[1].event not in TARGET_EVENTS),
         targets=tuple(p for p in others if p[1].fields.get("target") in targets),
         lines_dropped=sum(
             int(line.fields.get("lines", 0))
@@ -95,18 +99,18 @@
     )
 
 
-def _find_standing(others: list[Timed], begin: float) -> tuple[Timed, ...]:
-    """Return by host what had been said before `begin` and still held then."""
-    last: dict[tuple[str, str], Timed] = {}
+def _find_standing(others: list[TimedLine], begin: float) -> tuple[TimedLine, ...]:
+    """Return, by host, the states set before `begin` that still held then."""
+    last: dict[tuple[str, str], TimedLine] = {}
     for at, line in others:
-        group = GROUPS.get(line.event)
+        group = STATE_GROUPS.get(line.event)
         if group is not None and at < begin:
             last[line.host, group] = (at, line)
     return tuple(sorted(last.values(), key=lambda pair: pair[0]))
 
 
 class ExplainCommand(ToolCommand):
-    """Show a request's trail over all hosts, and name the decision that ended it."""
+    """Show a request's log lines of all hosts, and the event that ended it."""
 
     name = "explain"
     description = "Shows from the hosts' logs what became of a request."
@@ -117,7 +121,7 @@
     options = [JSON_OPTION]
 
     async def async_run(self) -> int:
-        """Print what was found; return the exit code."""
+        """Print the explanation; return the exit code."""
         request_id = self.argument("id")
         lines = [
             line
@@ -153,7 +157,7 @@
         yield from (_format(at - began, line) for at, line in found.targets)
     if found.meanwhile:
         yield "meanwhile on its hosts"
-        shown = found.meanwhile[-MAX_MEANWHILE:]
+        shown = found.meanwhile[-MAX_MEANWHILE_LINES:]
         yield from (_format(at - began, line) for at, line in shown)
     yield _describe_end(found)
 
@@ -182,7 +186,7 @@
 
 
 def _build_json(found: Explanation) -> dict[str, object]:
-    def show(pairs: tuple[Timed, ...]) -> list[dict[str, object]]:
+    def show(pairs: tuple[TimedLine, ...]) -> list[dict[str, object]]:
         return [
             {"at": at, "host": line.host, "event": line.event, **line.fields}
             for at, line in pairs
--- a/libraries/cli/tarragonward_cli/log_lines.py
+++ b/libraries/cli/tarragonward_cli/log_lines.py
@@ -1,4 +1,4 @@
-"""Read the lines of hosts' logs, and put them in order over all hosts."""
+"""Parse log lines of hosts, and order them over all hosts."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 __all__ = ["LogLine", "order_lines", "parse_line"]
 
-# A collector may put a prefix of its own before a line.
+# A log collector may prepend its own prefix.
 LINE = re.compile(r"(?:^|\s)(at=[0-9.]+ up=.*)$")
 PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|[^\s"]*)')
 ESCAPED = re.compile(r'\\(["\\])')
 EVENT_STARTED = "host_started"
-OWN_FIELDS = ("at", "up", "host", "event")
+STANDARD_FIELDS = ("at", "up", "host", "event")
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """One event of a host; at is its wall clock, up its seconds since its start."""
+    """A host's log event; at is wall-clock time, up is seconds since the start."""
 
     at: float
     up: float
@@ -30,12 +30,12 @@
 
     @property
     def request_id(self) -> str:
-        """Return the id of the request that the line is about, or nothing."""
+        """Return the id of the request concerned, or an empty string."""
         return self.fields.get("request_id", "")
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the event that a line holds; None for a line of anything else."""
+    """Parse a log line; return None if it is not an event."""
     found = LINE.search(text.rstrip("\n"))
     if found is None:
         return None
@@ -44,27 +44,29 @@
         at, up, event = float(pairs["at"]), float(pairs["up"]), pairs["event"]
     except (KeyError, ValueError):
         return None
-    fields = {key: pairs[key] for key in pairs if key not in OWN_FIELDS}
+    fields = {key: pairs[key] for key in pairs if key not in STANDARD_FIELDS}
     return LogLine(at, up, pairs.get("host", ""), event, fields)
 
 
 def order_lines(lines: Iterable[LogLine]) -> list[tuple[float, LogLine]]:
-    """Return lines in order of time over all hosts, each with its time.
+    """Sort lines by time over all hosts; return them with their time.
 
-    A host's time of day may jump and jump back, and a request's lines are written at
-    its end. So a line's place is its seconds since the start plus when that start
-    was: the middle of what the lines of that life of the host say.
+    A host's wall clock may jump, and a request's lines are written only at its end. A
+    line's time is therefore its uptime plus the start time of that incarnation of the
+    host, which is the median of (at - up) over the incarnation's lines.
     """
-    boots: Counter[str] = Counter()
+    incarnations: Counter[str] = Counter()
     numbered = []
     for line in lines:
-        boots[line.host] += line.event == EVENT_STARTED
-        numbered.append(((line.host, boots[line.host]), line))
+        incarnations[line.host] += line.event == EVENT_STARTED
+        numbered.append(((line.host, incarnations[line.host]), line))
     offsets: dict[tuple[str, int], list[float]] = {}
-    for life, line in numbered:
-        offsets.setdefault(life, []).append(line.at - line.up)
-    starts = {life: median(found) for life, found in offsets.items()}
-    timed = [(starts[life] + line.up, line) for life, line in numbered]
+    for incarnation, line in numbered:
+        offsets.setdefault(incarnation, []).append(line.at - line.up)
+    start_times = {incarnation: median(found) for incarnation, found in offsets.items()}
+    timed = [
+        (start_times[incarnation] + line.up, line) for incarnation, line in numbered
+    ]
     return sorted(timed, key=lambda pair: pair[0])
 
 
--- a/libraries/cli/tarragonward_cli/main.py
+++ b/libraries/cli/tarragonward_cli/main.py
@@ -34,7 +34,7 @@
 
 
 def build_application() -> Application:
-    """Return the tool with all its commands."""
+    """Return the application with all commands."""
     application = Application("tarragonward", VERSION)
     for command in COMMANDS:
         application.add(command())
@@ -49,7 +49,7 @@
     try:
         return application.run()
     except CleoError as err:
-        # The library would end with 1, which is an outcome here: of a call, "not run".
+        # cleo would exit with 1, which means "not run" for a call.
         print(f"{application.name}: {err}", file=sys.stderr)
         return EXIT_USAGE
 
--- a/libraries/cli/tarragonward_cli/request.py
+++ b/libraries/cli/tarragonward_cli/request.py
@@ -1,4 +1,4 @@
-"""Send a prompt and stream its answer."""
+"""Command that sends a prompt and streams the answer."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 EVENT_PREFIX = b"data: "
 DONE = b"[DONE]"
-REPEATABLE = (Repeat.AFTER_DELAY, Repeat.SAME_KEY)
+RETRYABLE = (Repeat.AFTER_DELAY, Repeat.SAME_KEY)
 STANDARD_INPUT = "-"
 
 
 class AnswerDiffersError(RefusedError):
-    """Report a repeated answer that does not go on from what was printed."""
+    """A retried answer does not continue the text already printed."""
 
 
 @dataclass
 class PrintedAnswer:
-    """The answer as printed so far, over all attempts."""
+    """The answer printed so far, over all attempts."""
 
     write: Callable[[str], None]
     text: str = ""
@@ -48,15 +48,15 @@
     usage: dict[str, Any] = field(default_factory=dict)
 
     def begin_attempt(self) -> None:
-        """Begin to read the answer from its start again."""
+        """Start reading the answer from its beginning."""
         self.attempt_text = ""
 
-    def take(self, text: str) -> None:
-        """Print what is new of an attempt.
+    def append(self, text: str) -> None:
+        """Append text of the current attempt, and print what is new.
 
-        A repeat after a lost host gives the answer from its start. Printing it all
-        would double the text, and an engine that samples may answer otherwise; so
-        only what follows the printed text is printed, and only if it goes on from it.
+        A retry after a lost host returns the answer from its beginning. To avoid
+        duplicated text, only the part after the printed text is printed. An engine that
+        samples may answer differently; that raises AnswerDiffersError.
         """
         self.attempt_text += text
         if self.attempt_text.startswith(self.text):
@@ -67,7 +67,7 @@
 
 
 class RequestCommand(ToolCommand):
-    """Send one prompt; another host takes over where one fails."""
+    """Send one prompt; fail over to another host on errors."""
 
     name = "request"
     description = "Sends a prompt and streams the answer."
@@ -95,7 +95,7 @@
 Exit codes: 0 whole answer, 1 failed or refused, 2 usage, 4 no host answered."""
 
     async def async_run(self) -> int:
-        """Ask hosts in turn until one gave the whole answer."""
+        """Try hosts in turn until one has given the complete answer."""
         token = self.read_token(c.ENV_TOKEN)
         body = self._build_body()
         cycle = HostCycle(self.get_hosts(), self.read_number("time-limit"))
@@ -115,7 +115,7 @@
                     return self._end(printed)
                 failure = RefusedError(f"{host}: {problem}")
                 wait = problem.retry_after
-                if problem.code.repeat not in REPEATABLE:
+                if problem.code.repeat not in RETRYABLE:
                     raise failure
             await cycle.async_wait(wait)
         raise failure
@@ -174,7 +174,7 @@
 async def _async_read_events(
     stream: HttpStream, printed: PrintedAnswer
 ) -> Problem | None:
-    """Read an answer to its end; return the error that ended it, if one did."""
+    """Read an answer to its end; return the error that ended it, if any."""
     async for line in stream.async_iterate_lines():
         data = line.removeprefix(EVENT_PREFIX)
         if data == line or data == DONE:
@@ -187,7 +187,7 @@
             return Problem(code, error["message"], retry_after)
         printed.usage = event.get("usage") or printed.usage
         for choice in event["choices"]:
-            printed.take(choice["text"])
+            printed.append(choice["text"])
             printed.finish_reason = choice["finish_reason"] or printed.finish_reason
     if printed.finish_reason is None:
         raise TargetError("the answer ended without its finish reason")
--- a/libraries/cli/tarragonward_cli/settings.py
+++ b/libraries/cli/tarragonward_cli/settings.py
@@ -1,4 +1,4 @@
-"""Check a settings file."""
+"""Command that checks a settings file."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class SettingsCheckCommand(Command):
-    """Say whether a daemon would start with a settings file."""
+    """Check whether a daemon would start with a settings file."""
 
     name = "settings check"
     description = "Checks a settings file."
     arguments = [argument("file", "The settings file (TOML).")]
 
     def handle(self) -> int:
-        """Print what is wrong, or that nothing is; return the exit code."""
+        """Print the errors, or that the file is valid; return the exit code."""
         path = Path(self.argument("file"))
-        load = load_gateway_settings if _is_of_gateway(path) else load_settings
+        load = load_gateway_settings if _is_gateway_file(path) else load_settings
         try:
             settings = load(path)
         except SettingsError as err:
@@ -39,10 +39,10 @@
         return 0
 
 
-def _is_of_gateway(path: Path) -> bool:
-    """Return whether a file is meant for a host that forwards requests by routes.
+def _is_gateway_file(path: Path) -> bool:
+    """Return whether a file is for a gateway host, which forwards requests by routes.
 
-    Only such a host has one address that it reads all publications from.
+    Only gateway settings have a single source address for all publications.
     """
     try:
         addresses = tomllib.loads(path.read_text(encoding="utf-8")).get("addresses")
--- a/libraries/cli/tarragonward_cli/status.py
+++ b/libraries/cli/tarragonward_cli/status.py
@@ -1,4 +1,4 @@
-"""Show what each host says of itself, and the targets."""
+"""Commands that show the status of hosts, and the targets."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class StatusCommand(ToolCommand):
-    """Ask every host named, and say which did not answer."""
+    """Show the status of each host, or that it did not answer."""
 
     name = "status"
     description = "Shows each host's incarnation, configuration and load."
@@ -33,7 +33,7 @@
 Exit codes: 0 all hosts answered, 1 some did not, 2 usage, 4 none did."""
 
     async def async_run(self) -> int:
-        """Print a line for each host."""
+        """Print a row for each host; return the exit code."""
         token, hosts = self.read_token(c.ENV_OPERATOR_TOKEN), self.get_hosts()
         found = await asyncio.gather(*(_async_ask(host, token) for host in hosts))
         if self.option("json"):
@@ -41,14 +41,14 @@
         else:
             rows = [_build_row(h, s) for h, s in zip(hosts, found, strict=True)]
             self.print_table(rows)
-        silent = sum(ATTR_ERROR in status for status in found)
-        if silent == len(hosts):
+        unreachable = sum(ATTR_ERROR in status for status in found)
+        if unreachable == len(hosts):
             return c.EXIT_NO_HOST
-        return c.EXIT_FAILED if silent else c.EXIT_OK
+        return c.EXIT_FAILED if unreachable else c.EXIT_OK
 
 
 class TargetsCommand(ToolCommand):
-    """Ask the first host that answers for the targets it knows."""
+    """Show the targets known to the first host that answers."""
 
     name = "targets"
     description = "Shows the targets and whether they are leaving."
@@ -56,7 +56,7 @@
     help = StatusCommand.help
 
     async def async_run(self) -> int:
-        """Print a line for each target."""
+        """Print a row for each target; return the exit code."""
         token = self.read_token(c.ENV_OPERATOR_TOKEN)
         cycle = HostCycle(self.get_hosts(), c.OPERATORS_TIMEOUT_SECONDS)
         answer = await async_ask_any(cycle, token, "GET", c.ROUTE_TARGETS)
@@ -82,14 +82,14 @@
 
 
 def _build_row(host: Address, status: dict[str, Any]) -> dict[str, Any]:
-    is_silent = ATTR_ERROR in status
+    is_unreachable = ATTR_ERROR in status
     _, _, incarnation = status.get("identity", "").partition("#")
     return {
         "host": host,
         "name": status.get("name", "-"),
         "incarnation": incarnation or "-",
         "configuration": status.get("configuration_number", "-"),
-        "members": "-" if is_silent else len(status["members"]),
+        "members": "-" if is_unreachable else len(status["members"]),
         "in flight": status.get("in_flight", "-"),
         "draining": status.get("draining", "-"),
         "state": status.get(ATTR_ERROR, "answers"),
