--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests with real processes."""
+"""Fixtures for the tests that run real processes."""
 
 import pytest
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -22,8 +22,8 @@
 }
 
 
-class Tool:
-    """Runs the tool as a process, as an operator or a caller would."""
+class CommandLine:
+    """Runs the command-line tool as a process with a caller's and operator's token."""
 
     def __init__(self, site):
         self.site = site
@@ -33,15 +33,15 @@
             c.ENV_OPERATOR_TOKEN: site.operator_token,
         }
 
-    async def async_run(self, *words, operators=False, hosts=()):
-        """Return exit code, output and error output."""
+    async def async_run(self, *arguments, operators=False, hosts=()):
+        """Return exit code, standard output and standard error."""
         names = hosts or list(self.site.hosts)
-        found = [self.site.hosts[name] for name in names]
-        addresses = [str(h.operators if operators else h.callers) for h in found]
+        selected = [self.site.hosts[name] for name in names]
+        addresses = [str(h.operators if operators else h.callers) for h in selected]
         options = [f"--host={address}" for address in addresses]
         process = await asyncio.create_subprocess_exec(
             str(Path(sys.executable).parent / "tarragonward"),
-            *words,
+            *arguments,
             *options,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
@@ -53,8 +53,8 @@
 
 
 @pytest.fixture
-async def tool(make_site):
-    return Tool(await make_site(PLAN))
+async def command_line(make_site):
+    return CommandLine(await make_site(PLAN))
 
 
 async def async_count_runs(site):
@@ -65,100 +65,114 @@
     return runs
 
 
-async def test_caller_commands_go_on_at_another_host(tool):
-    """One of two hosts is dead; the caller's tool has both addresses.
+async def test_caller_commands_fail_over_to_another_host(command_line):
+    """One of the two hosts given to the tool is down.
 
-    The request and the call go to the host that lives, in whichever order they are
+    The request and the call go to the other host in whichever order the addresses are
     tried, and the call runs once.
     """
-    await tool.site.async_kill("entry-north-1")
+    await command_line.site.async_kill("entry-north-1")
     expected = expect_answer("Rewrite bay 4", 20).text
     request = ("request", PLAN.model, "Rewrite bay 4", "--max-tokens=20")
-    assert (await tool.async_run(*request))[:2] == (c.EXIT_OK, expected + "\n")
-    code, output, _ = await tool.async_run(*request, "--json")
+    assert (await command_line.async_run(*request))[:2] == (c.EXIT_OK, expected + "\n")
+    code, output, _ = await command_line.async_run(*request, "--json")
     assert (code, json.loads(output)["text"]) == (c.EXIT_OK, expected)
-    code, output, errors = await tool.async_run("call", "approvals", "approve", "slot")
+    code, output, errors = await command_line.async_run(
+        "call", "approvals", "approve", "slot"
+    )
     assert (code, json.loads(output)["run"]) == (c.EXIT_OK, 1)
     key = errors.split()[1]
-    assert (await async_count_runs(tool.site))[key] == 1
-    repeat = await tool.async_run(
+    assert (await async_count_runs(command_line.site))[key] == 1
+    repeat = await command_line.async_run(
         "call", "approvals", "approve", "slot", f"--key={key}"
     )
     assert repeat[:2] == (c.EXIT_OK, output)
-    assert (await async_count_runs(tool.site))[key] == 1
+    assert (await async_count_runs(command_line.site))[key] == 1
 
 
-async def test_a_call_whose_owner_died_is_reported_as_unknown(tool):
-    """The owner runs the call, answers, and dies; its caller asks again by the key.
+async def test_a_call_whose_owner_was_killed_is_reported_as_unknown(command_line):
+    """The owner runs the call, answers and is killed; the caller repeats it by its key.
 
-    Nobody else may know or run it: the tool must say "unknown" by its exit code, never
-    "not run", and must not send the call under a new key.
+    No other host may know the outcome or run the call. The tool must report an unknown
+    outcome by its exit code, never "not run", and must not send the call under a new
+    key.
     """
     first = "entry-north-1"
-    _, _, errors = await tool.async_run(
+    _, _, errors = await command_line.async_run(
         "call", "approvals", "approve", "slot", hosts=[first]
     )
     key = errors.split()[1]
-    await tool.site.async_kill(first)
-    code, output, _ = await tool.async_run(
+    await command_line.site.async_kill(first)
+    code, output, _ = await command_line.async_run(
         "call", "approvals", "approve", "slot", f"--key={key}", "--json"
     )
     assert code == c.EXIT_UNKNOWN_OUTCOME
     assert json.loads(output)["outcome"] == "unknown"
-    assert sum((await async_count_runs(tool.site)).values()) == 1
+    assert sum((await async_count_runs(command_line.site)).values()) == 1
 
 
-async def test_exit_codes_tell_why_a_command_failed(tool, tmp_path):
+async def test_exit_codes_distinguish_reasons_of_failure(command_line, tmp_path):
     call = ("call", "approvals")
-    refused = await tool.async_run(*call, "approve", "refuse", "--time-limit=2")
+    refused = await command_line.async_run(*call, "approve", "refuse", "--time-limit=2")
     assert refused[0] == c.EXIT_FAILED
     assert "TARGET_REFUSED" in refused[2]
-    foreign_key = await tool.async_run(*call, "approve", "--key=a.b.c")
+    foreign_key = await command_line.async_run(*call, "approve", "--key=a.b.c")
     assert foreign_key[0] == c.EXIT_UNKNOWN_OUTCOME
-    assert (await tool.async_run(*call, "nothing"))[0] == c.EXIT_FAILED
-    unknown_model = await tool.async_run("request", "nothing", "a")
+    assert (await command_line.async_run(*call, "nothing"))[0] == c.EXIT_FAILED
+    unknown_model = await command_line.async_run("request", "nothing", "a")
     assert unknown_model[0] == c.EXIT_FAILED
     assert "UNKNOWN_MODEL" in unknown_model[2]
-    usage = await tool.async_run("request", "nothing", "a", "--time-limit=nan")
+    usage = await command_line.async_run("request", "nothing", "a", "--time-limit=nan")
     assert usage[0] == c.EXIT_USAGE
-    for words in (("request",), ("nothing",), ("call", "a", "b", "--no-such-option")):
-        assert (await tool.async_run(*words))[0] == c.EXIT_USAGE
+    for arguments in (
+        ("request",),
+        ("nothing",),
+        ("call", "a", "b", "--no-such-option"),
+    ):
+        assert (await command_line.async_run(*arguments))[0] == c.EXIT_USAGE
     empty = tmp_path / "no.token"
-    token = await tool.async_run("request", "nothing", "a", f"--token-file={empty}")
+    token = await command_line.async_run(
+        "request", "nothing", "a", f"--token-file={empty}"
+    )
     assert token[0] == c.EXIT_USAGE
-    for name in list(tool.site.hosts):
-        await tool.site.async_kill(name)
-    gone = await tool.async_run("request", PLAN.model, "a", "--time-limit=1")
-    assert gone[0] == c.EXIT_NO_HOST
-    assert (await tool.async_run("status", operators=True))[0] == c.EXIT_NO_HOST
+    for name in list(command_line.site.hosts):
+        await command_line.site.async_kill(name)
+    no_host = await command_line.async_run("request", PLAN.model, "a", "--time-limit=1")
+    assert no_host[0] == c.EXIT_NO_HOST
+    assert (await command_line.async_run("status", operators=True))[0] == c.EXIT_NO_HOST
 
 
-async def test_operators_see_hosts_targets_and_what_a_patch_changes(tool, tmp_path):
+async def test_operator_commands_show_hosts_targets_and_patch_changes(
+    command_line, tmp_path
+):
     patch = tmp_path / "patch.json"
     patch.write_text(json.dumps(WEIGHT_PATCH))
-    code, output, _ = await tool.async_run("status", "--json", operators=True)
-    assert (code, {s["name"] for s in json.loads(output)}) == (0, set(tool.site.hosts))
-    _, output, _ = await tool.async_run("targets", operators=True)
-    assert all(name in output for name in tool.site.engines)
-    _, output, _ = await tool.async_run("config", "show", operators=True)
+    code, output, _ = await command_line.async_run("status", "--json", operators=True)
+    assert (code, {s["name"] for s in json.loads(output)}) == (
+        0,
+        set(command_line.site.hosts),
+    )
+    _, output, _ = await command_line.async_run("targets", operators=True)
+    assert all(name in output for name in command_line.site.engines)
+    _, output, _ = await command_line.async_run("config", "show", operators=True)
     assert json.loads(output)["number"] == 0
     check = ("config", "check", str(patch))
-    code, output, _ = await tool.async_run(*check, operators=True)
+    code, output, _ = await command_line.async_run(*check, operators=True)
     path = "/client_accounts/camara/weight"
     assert code == c.EXIT_OK
     assert f"- {path}: 1" in output and f"+ {path}: 7" in output
-    await tool.site.async_publish(0, WEIGHT_PATCH["operations"])
+    await command_line.site.async_publish(0, WEIGHT_PATCH["operations"])
     async with asyncio.timeout(10):
-        for name in tool.site.hosts:
-            while await async_get_number(tool.site, name) != 1:
+        for name in command_line.site.hosts:
+            while await async_get_number(command_line.site, name) != 1:
                 await asyncio.sleep(0.05)
-    code, output, _ = await tool.async_run(*check, operators=True)
+    code, output, _ = await command_line.async_run(*check, operators=True)
     assert (code, output) == (
         c.EXIT_FAILED,
         "stale: written against 0, but 1 is in force\n",
     )
     patch.write_text(json.dumps({"base": 1, "operations": [{"op": "remove"}]}))
-    code, output, _ = await tool.async_run(*check, operators=True)
+    code, output, _ = await command_line.async_run(*check, operators=True)
     assert (code, output.partition(":")[0]) == (c.EXIT_FAILED, "invalid")
 
 
--- a/tests/test_client_library.py
+++ b/tests/test_client_library.py
@@ -1,4 +1,4 @@
-"""Tests with a stock client library, used as it comes."""
+"""Tests with an unmodified OpenAI client library."""
 
 import openai
 import pytest
@@ -30,20 +30,20 @@
     assert (await client.models.retrieve(PLAN.model)).id == PLAN.model
 
 
-async def test_completions_whole_and_streamed(client):
+async def test_completions_buffered_and_streamed(client):
     expected = expect_answer(PROMPT, 20)
     arguments = {"model": PLAN.model, "prompt": PROMPT, "max_tokens": 20}
-    whole = await client.completions.create(**arguments)
-    assert whole.choices[0].text == expected.text
-    assert whole.choices[0].finish_reason == expected.finish_reason
-    assert whole.usage.completion_tokens == expected.tokens
+    buffered = await client.completions.create(**arguments)
+    assert buffered.choices[0].text == expected.text
+    assert buffered.choices[0].finish_reason == expected.finish_reason
+    assert buffered.usage.completion_tokens == expected.tokens
     stream = await client.completions.create(**arguments, stream=True)
     chunks = [chunk async for chunk in stream]
     assert "".join(chunk.choices[0].text for chunk in chunks) == expected.text
     assert chunks[-1].choices[0].finish_reason == expected.finish_reason
 
 
-async def test_chat_whole_and_streamed_with_usage(client):
+async def test_chat_buffered_and_streamed_with_usage(client):
     expected = expect_answer(CHAT_PROMPT, 20)
     arguments = {
         "model": PLAN.model,
@@ -51,19 +51,19 @@
         "max_completion_tokens": 20,
         "temperature": 0,
     }
-    whole = await client.chat.completions.create(**arguments)
-    assert whole.choices[0].message.content == expected.text
-    assert whole.usage.completion_tokens == expected.tokens
+    buffered = await client.chat.completions.create(**arguments)
+    assert buffered.choices[0].message.content == expected.text
+    assert buffered.usage.completion_tokens == expected.tokens
     stream = await client.chat.completions.create(
         **arguments, stream=True, stream_options={"include_usage": True}
     )
     chunks = [chunk async for chunk in stream]
     texts = [c.choices[0].delta.content or "" for c in chunks if c.choices]
     assert "".join(texts) == expected.text
-    assert chunks[-1].usage == whole.usage
+    assert chunks[-1].usage == buffered.usage
 
 
-async def test_errors_are_the_librarys_own_with_our_number(client):
+async def test_errors_raise_library_exceptions_with_the_result_code(client):
     with pytest.raises(openai.NotFoundError) as caught:
         await client.completions.create(model="nothing", prompt="a")
     assert caught.value.code == str(ResultCode.UNKNOWN_MODEL.number)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration and of orders to engines with real processes."""
+"""Tests of configuration updates and engine orders with real processes."""
 
 import asyncio
 import signal
@@ -9,28 +9,28 @@
 from tarragonward_standins.site import SitePlan
 from tarragonward_wire import async_send_http
 
-IN_FORCE_SECONDS = 8.0
+ACTIVE_TIMEOUT_SECONDS = 8.0
 SMALL = SitePlan(hosts_per_domain=2, engines_per_domain=1)
-WEIGHT = "/client_accounts/shelfwise/weight"
+WEIGHT_PATH = "/client_accounts/shelfwise/weight"
 
 
 def set_weight(weight):
-    return [{"op": "replace", "path": WEIGHT, "value": weight}]
+    return [{"op": "replace", "path": WEIGHT_PATH, "value": weight}]
 
 
 def set_version(model, version):
     return [{"op": "add", "path": f"/models/{model}/version", "value": version}]
 
 
-async def async_get_numbers(site, names=None):
+async def async_get_active_numbers(site, names=None):
     names = names or list(site.hosts)
-    shown = [site.async_ask_operators(name, "/v1/configuration") for name in names]
-    return [item["number"] for item in await asyncio.gather(*shown)]
+    responses = [site.async_ask_operators(name, "/v1/configuration") for name in names]
+    return [item["number"] for item in await asyncio.gather(*responses)]
 
 
-async def async_wait_in_force(site, number, names=None):
-    async with asyncio.timeout(IN_FORCE_SECONDS):
-        while set(await async_get_numbers(site, names)) != {number}:
+async def async_wait_active(site, number, names=None):
+    async with asyncio.timeout(ACTIVE_TIMEOUT_SECONDS):
+        while set(await async_get_active_numbers(site, names)) != {number}:
             await asyncio.sleep(0.05)
 
 
@@ -47,7 +47,7 @@
 
 async def async_wait_for_version(site, engine, version, number):
     model = site.plan.model
-    async with asyncio.timeout(IN_FORCE_SECONDS + 4):
+    async with asyncio.timeout(ACTIVE_TIMEOUT_SECONDS + 4):
         while True:
             order = await async_get_order(site, engine)
             loaded = order.get("models", {}).get(model, {}).get("version")
@@ -56,25 +56,27 @@
             await asyncio.sleep(0.05)
 
 
-async def test_of_two_patches_against_one_number_one_is_refused_everywhere(make_site):
-    """Two operators read number 0 and publish; the second must not slip in.
+async def test_of_two_patches_with_the_same_base_every_host_refuses_one(make_site):
+    """Two operators publish patches against number 0; only one may be applied.
 
-    The log puts one first. Every host takes it as number 1 and refuses the other as
-    stale, in its metrics, with the same document in force everywhere.
+    The log orders the two. Every host applies the first as number 1, refuses the other
+    as stale and counts it in its metrics, and all have the same document active.
     """
     site = await make_site(SMALL)
     first, second = await asyncio.gather(
         site.async_publish(0, set_weight(5)), site.async_publish(0, set_weight(9))
     )
     assert {first, second} == {1, 2}
-    await async_wait_in_force(site, 1)
+    await async_wait_active(site, 1)
     await asyncio.sleep(0.5)
-    shown = [await site.async_ask_operators(n, "/v1/configuration") for n in site.hosts]
+    responses = [
+        await site.async_ask_operators(n, "/v1/configuration") for n in site.hosts
+    ]
     assert (
         len(
             {
                 item["document"]["client_accounts"]["shelfwise"]["weight"]
-                for item in shown
+                for item in responses
             }
         )
         == 1
@@ -85,11 +87,11 @@
         )
 
 
-async def test_a_patch_reaches_hosts_that_are_cut_from_the_platform(make_site):
-    """The platform is cut for one domain's hosts; a revoked token must stop there too.
+async def test_a_patch_reaches_hosts_disconnected_from_the_platform(make_site):
+    """One domain's hosts are cut off from the platform when a token is revoked.
 
-    The other domain's hosts read the patch and hand it on; the cut hosts have it in
-    force within 8 seconds, with nothing but their peers in reach.
+    The hosts of the other domain read the patch and forward it to their peers, so that
+    the disconnected hosts apply it within 8 seconds too.
     """
     site = await make_site(SitePlan(engines_per_domain=1, has_proxies=True))
     south = [name for name in site.hosts if "south" in name]
@@ -97,19 +99,19 @@
         site.proxies[f"platform-{name}"].faults.refuse = True
         site.proxies[f"platform-{name}"].abort_connections()
     await site.async_publish(0, set_weight(5))
-    await async_wait_in_force(site, 1)
+    await async_wait_active(site, 1)
 
 
-async def test_no_number_falls_when_the_platform_comes_back_older(make_site):
-    """The platform dies, and comes back from a backup that lacks the last patches.
+async def test_hosts_do_not_roll_back_if_the_platform_restarts_from_a_backup(make_site):
+    """The platform is restored from a backup that lacks the last patches.
 
-    Hosts that ran on keep number 2. A host replaced meanwhile reads number 0 from the
-    platform, asks its peers before it admits work, and starts with 2 as well.
+    Running hosts keep number 2. A host replaced meanwhile reads number 0 from the
+    platform, asks its peers before it admits work, and starts with number 2 as well.
     """
     site = await make_site(SMALL)
     await site.async_publish(0, set_weight(5))
     await site.async_publish(1, set_weight(6))
-    await async_wait_in_force(site, 2)
+    await async_wait_active(site, 2)
     await site.async_kill("platform")
     await asyncio.sleep(1)
     await site.async_start("platform")
@@ -117,33 +119,35 @@
     await site.async_kill(name)
     await site.async_start(name)
     await site.async_wait_healthy(name)
-    assert set(await async_get_numbers(site)) == {2}
+    assert set(await async_get_active_numbers(site)) == {2}
 
 
 @pytest.mark.parametrize("faults", [{"configuration_down": True}, {"stale_at": 0}])
-async def test_a_new_host_starts_with_what_its_peers_have(make_site, faults):
-    """A host is replaced while the configuration service is down, or shows old data.
+async def test_a_new_host_starts_with_the_configuration_of_its_peers(make_site, faults):
+    """A host is replaced while the configuration service is down or serves old data.
 
-    Only its peers have number 1. It asks them before it admits work, so it never
-    serves by the old number, and needs the host list alone from the platform.
+    Only its peers have number 1. It asks them before it admits work, so it never serves
+    with the old number and needs only the host list from the platform.
     """
     site = await make_site(SMALL)
     await site.async_publish(0, set_weight(5))
-    await async_wait_in_force(site, 1)
+    await async_wait_active(site, 1)
     await site.async_set_platform_faults(**faults)
     name = "entry-north-1"
     await site.async_kill(name)
     await site.async_start(name)
     await site.async_wait_healthy(name)
-    assert await async_get_numbers(site, [name]) == [1]
+    assert await async_get_active_numbers(site, [name]) == [1]
 
 
-async def test_hosts_all_replaced_beside_a_stale_platform_do_not_go_back(make_site):
-    """All hosts are replaced while the platform shows a snapshot from before a patch.
+async def test_hosts_all_replaced_while_the_platform_is_stale_do_not_roll_back(
+    make_site,
+):
+    """All hosts are replaced while the platform serves a snapshot older than a patch.
 
-    No host is left that knows number 1, but the engines were ordered under it. The
-    new hosts see that their own number is below and admit no work until the
-    platform shows the patch again; no caller meets the old configuration.
+    No host knows number 1 any more, but the engines have received orders with it. The
+    new hosts find their own number below it and admit no work until the platform serves
+    the patch again, so that no caller is served by the old configuration.
     """
     site = await make_site(SMALL)
     await site.async_publish(0, set_weight(5))
@@ -159,16 +163,18 @@
     await site.async_publish(0, set_weight(5))
     for name in site.hosts:
         await site.async_wait_healthy(name)
-    assert set(await async_get_numbers(site)) == {1}
+    assert set(await async_get_active_numbers(site)) == {1}
 
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
-async def test_a_frozen_hosts_old_order_does_no_lasting_harm(make_site, checks_fencing):
-    """A host is frozen, a new version is published, and the host wakes with old views.
-
-    Its old order is refused by an engine that checks fencing. One that ignores it is
-    ordered only after a fresh look, which shows the host that it is late. Either way
-    every engine has the new version and keeps it.
+async def test_a_stale_order_of_a_resumed_host_is_refused_or_corrected(
+    make_site, checks_fencing
+):
+    """A host is frozen, a new version is published, and the host is resumed.
+
+    An engine that checks fencing refuses its stale order. To one that ignores fencing,
+    the host sends an order only after it has read the configuration anew, which shows
+    that its own is outdated. Either way every engine gets the new version and keeps it.
     """
     plan = SitePlan(engines_per_domain=2, engines_check_fencing=checks_fencing)
     site = await make_site(plan)
@@ -185,11 +191,12 @@
         await async_wait_for_version(site, engine, "2", 1)
 
 
-async def test_an_old_order_that_an_engine_took_is_put_right(make_site):
-    """An order held up on the wire reaches an engine that ignores fencing.
+async def test_a_stale_order_applied_by_an_engine_is_corrected(make_site):
+    """A delayed order reaches an engine that ignores fencing.
 
-    Nothing can stop it there. The hosts that watch the engine see another state than
-    they ordered, look at the service, and order again within seconds.
+    Nothing can stop it there. The hosts that watch the engine see a state other than
+    the one they ordered, read the configuration anew and send the order again within
+    seconds.
     """
     plan = SitePlan(engines_per_domain=1, engines_check_fencing=False)
     site = await make_site(plan)
@@ -201,8 +208,10 @@
     await async_wait_for_version(site, "engine-north-1", "2", 1)
 
 
-async def test_no_order_goes_to_an_engine_without_fencing_while_cut_off(make_site):
-    """Without a fresh look nothing shows that a host's number is the newest."""
+async def test_engines_without_fencing_get_no_order_while_the_platform_is_down(
+    make_site,
+):
+    """A host cannot know that its configuration is the newest without reading it."""
     plan = SitePlan(
         failure_domains=("north",),
         hosts_per_domain=1,
