--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of what callers get for bad, hostile and unusual requests, through a host."""
+"""Tests of the answers to invalid, hostile and unusual requests, through a host."""
 
 import asyncio
 from dataclasses import replace
@@ -11,7 +11,7 @@
 from tarragonward_standins.site import SitePlan
 from tarragonward_wire import async_open_http, async_send_http
 
-SMALL = SitePlan(
+SINGLE_HOST = SitePlan(
     failure_domains=("north",),
     hosts_per_domain=1,
     engines_per_domain=1,
@@ -25,7 +25,7 @@
 PROMPT = {"model": "planogram-1", "prompt": "Rewrite bay 4", "max_tokens": 3}
 CHAT = {"model": "planogram-1", "messages": [{"role": "user", "content": "bay"}]}
 
-TOO_MANY = {**CHAT, "messages": [{"role": "a", "content": ""}] * 5_000}
+TOO_MANY_MESSAGES = {**CHAT, "messages": [{"role": "a", "content": ""}] * 5_000}
 
 
 async def async_post(site, path, payload, **headers):
@@ -70,7 +70,7 @@
     ),
     ("/v1/completions", b"a" * 300_000, {}, ResultCode.BODY_TOO_LARGE),
     ("/v1/chat/completions", PROMPT, {}, ResultCode.INVALID_REQUEST),
-    ("/v1/chat/completions", TOO_MANY, {}, ResultCode.INVALID_REQUEST),
+    ("/v1/chat/completions", TOO_MANY_MESSAGES, {}, ResultCode.INVALID_REQUEST),
     ("/v1/chat/completions", {**CHAT, "tools": [1]}, {}, ResultCode.INVALID_REQUEST),
     (
         "/v1/chat/completions",
@@ -106,8 +106,8 @@
 }
 
 
-async def test_every_refusal_is_numbered_and_says_whether_to_repeat(make_site):
-    site = await make_site(SMALL)
+async def test_every_refusal_has_a_result_code_and_retry_advice(make_site):
+    site = await make_site(SINGLE_HOST)
     cases = [*REFUSALS]
     cases += [
         ("/v1/completions", PROMPT, {"x_time_limit_seconds": text}, code)
@@ -116,17 +116,17 @@
     for path, payload, headers, code in cases:
         answer = await async_post(site, path, payload, **headers)
         error = answer.parse_json()["error"]
-        found = (answer.status, error["code"], answer.headers["x-result-code"])
-        wanted = (code.http_status, code.number, str(code.number))
-        assert found == wanted, (path, headers, error)
+        actual = (answer.status, error["code"], answer.headers["x-result-code"])
+        expected_result = (code.http_status, code.number, str(code.number))
+        assert actual == expected_result, (path, headers, error)
         assert error["request_id"] and error["message"]
         assert ("retry-after" in answer.headers) == (
             error["retry_after_seconds"] is not None
         )
 
 
-async def test_operators_routes_are_closed_to_callers(make_site):
-    site = await make_site(SMALL)
+async def test_operator_routes_reject_caller_tokens(make_site):
+    site = await make_site(SINGLE_HOST)
     host = next(iter(site.hosts.values()))
     operator = f"Bearer {site.operator_token}"
     caller = f"Bearer {site.tokens['camara']}"
@@ -145,9 +145,9 @@
         answer = await async_send_http(
             host.operators, method, path, headers={"authorization": token}, timeout=5
         )
-        found = answer.headers.get("x-result-code")
-        wanted = None if code is None else str(code.number)
-        assert (answer.status, found) == (status, wanted), (method, path)
+        actual = answer.headers.get("x-result-code")
+        expected_result = None if code is None else str(code.number)
+        assert (answer.status, actual) == (status, expected_result), (method, path)
 
 
 async def async_read_metrics(host):
@@ -155,13 +155,16 @@
     return list(text_string_to_metric_families(answer.body.decode()))
 
 
-async def test_a_repeat_refused_for_want_of_memory_is_not_told_not_run(make_site):
-    """A long prompt fills the host's memory for bodies; a clerk repeats a booking.
+async def test_a_repeat_refused_for_lack_of_memory_is_not_reported_as_not_run(
+    make_site,
+):
+    """A long prompt fills the host's memory for bodies when a keyed call is repeated.
 
-    The repeat is refused unread. This host can't know whether an earlier copy ran, so
-    it says "unknown" and when to come back; work without a key is told "not run".
+    The repeat is refused before its body is read. The host cannot know whether an
+    earlier copy ran, so it answers OUTCOME_UNKNOWN with a Retry-After. A request
+    without a key is refused with OVERLOADED, which means "not run".
     """
-    site = await make_site(SMALL)
+    site = await make_site(SINGLE_HOST)
     host = next(iter(site.hosts.values()))
     prefix = (await async_post(site, "/v1/key-prefix", b"")).parse_json()["key_prefix"]
     _, writer = await asyncio.open_connection(host.callers.host, host.callers.port)
@@ -182,20 +185,20 @@
     )
     plain = await async_post(site, "/v1/services/approvals/look-up", body)
     writer.close()
-    found = [answer.headers["x-result-code"] for answer in (keyed, plain)]
-    wanted = [ResultCode.OUTCOME_UNKNOWN, ResultCode.OVERLOADED]
-    assert found == [str(code.number) for code in wanted]
+    actual = [answer.headers["x-result-code"] for answer in (keyed, plain)]
+    expected_result = [ResultCode.OUTCOME_UNKNOWN, ResultCode.OVERLOADED]
+    assert actual == [str(code.number) for code in expected_result]
     assert all(answer.headers["retry-after"] for answer in (keyed, plain))
 
 
-async def test_a_repeat_that_comes_too_slowly_is_not_told_not_run(make_site):
-    """A clerk's phone repeats a booking over a network that has all but stopped.
+async def test_a_repeat_sent_too_slowly_is_not_reported_as_not_run(make_site):
+    """The body of a repeated call does not arrive within the sender time-out.
 
-    The body does not come in time. That copy was not run, but the one before it may
-    have been: the clerk must read "unknown", and not book again under a new key.
+    This copy was not run, but an earlier one may have been. The answer must be
+    OUTCOME_UNKNOWN, or the caller would send the call again under a new key.
     """
     limits = {"sender_timeout_seconds": 1}
-    site = await make_site(replace(SMALL, limits=limits))
+    site = await make_site(replace(SINGLE_HOST, limits=limits))
     host = next(iter(site.hosts.values()))
     prefix = (await async_post(site, "/v1/key-prefix", b"")).parse_json()["key_prefix"]
     reader, writer = await asyncio.open_connection(host.callers.host, host.callers.port)
@@ -212,13 +215,13 @@
     assert "retry-after: " in answer
 
 
-async def test_a_hostile_content_type_reaches_the_target_as_it_came(make_site):
+async def test_a_non_ascii_content_type_reaches_the_target_unchanged(make_site):
     """A call's content type holds bytes that are not ASCII.
 
-    They once made the host fail after it had written "sent", so that a booking which
-    nobody ran had an unknown outcome. They travel unchanged.
+    An encoding error raised after the call was recorded as sent would leave a call that
+    never ran with an unknown outcome. The bytes are forwarded unchanged.
     """
-    site = await make_site(SMALL)
+    site = await make_site(SINGLE_HOST)
     prefix = (await async_post(site, "/v1/key-prefix", b"")).parse_json()["key_prefix"]
     path = "/v1/services/approvals/approve"
     answer = await async_post(
@@ -227,35 +230,35 @@
     assert (answer.status, answer.parse_json()["run"]) == (200, 1)
 
 
-async def test_answers_of_the_same_prompt_count_the_same_tokens(make_site):
-    """Several tokens of an engine arrive joined in one piece.
+async def test_buffered_and_streamed_answers_report_the_same_token_count(make_site):
+    """Several tokens of an engine arrive joined in one chunk.
 
-    The usage once counted the pieces. Streamed and whole answers must both give the
-    number of tokens that the engine made.
+    Usage must count tokens and not chunks: buffered and streamed answers both report
+    the number of tokens that the engine generated.
     """
-    site = await make_site(SMALL)
+    site = await make_site(SINGLE_HOST)
     prompt = {**PROMPT, "max_tokens": 40}
     expected = expect_answer(PROMPT["prompt"], 40)
-    whole = (await async_post(site, "/v1/completions", prompt)).parse_json()
-    assert whole["choices"][0]["text"] == expected.text
-    assert whole["usage"]["completion_tokens"] == expected.tokens
+    buffered = (await async_post(site, "/v1/completions", prompt)).parse_json()
+    assert buffered["choices"][0]["text"] == expected.text
+    assert buffered["usage"]["completion_tokens"] == expected.tokens
     streamed = {**prompt, "stream": True, "stream_options": {"include_usage": True}}
     answer = await async_post(site, "/v1/completions", streamed)
-    *events, last, done = answer.body.decode().strip().split("\n\n")
+    *events, usage_event, done = answer.body.decode().strip().split("\n\n")
     assert done == "data: [DONE]"
-    usage = orjson.loads(last.removeprefix("data: "))
-    assert (usage["choices"], usage["usage"]) == ([], whole["usage"])
+    usage = orjson.loads(usage_event.removeprefix("data: "))
+    assert (usage["choices"], usage["usage"]) == ([], buffered["usage"])
     texts = [orjson.loads(e.removeprefix("data: "))["choices"][0] for e in events]
     assert "".join(choice["text"] for choice in texts) == expected.text
 
 
-async def test_a_caller_that_leaves_is_counted_once(make_site):
-    """A merchandiser closes the app in the middle of an answer.
+async def test_a_caller_that_disconnects_is_counted_once(make_site):
+    """A caller disconnects in the middle of an answer.
 
-    The request ends once, by CALLER_LEFT: it was once counted by the route and again
-    by the request itself, so that alarms on the share of errors rang too early.
+    The request is counted once, as CALLER_LEFT. Counting it both by the route and by
+    the request would double it in the error rate that alarms are based on.
     """
-    site = await make_site(SMALL)
+    site = await make_site(SINGLE_HOST)
     host = next(iter(site.hosts.values()))
     request = {**PROMPT, "max_tokens": 500, "stream": True}
     async with async_open_http(
@@ -270,10 +273,10 @@
         while (await site.async_ask_operators(host.name, "/v1/status"))["in_flight"]:
             await asyncio.sleep(0.01)
     families = await async_read_metrics(host)
-    ended = {
+    request_counts = {
         (sample.labels["label"], sample.labels["client_account"]): sample.value
         for family in families
         if family.name == "tarragonward_requests"
         for sample in family.samples
     }
-    assert ended == {(str(ResultCode.CALLER_LEFT.number), "camara"): 1}
+    assert request_counts == {(str(ResultCode.CALLER_LEFT.number), "camara"): 1}
--- a/tests/test_lengths.py
+++ b/tests/test_lengths.py
@@ -1,4 +1,4 @@
-"""Tests of prompts beyond one engine, with real processes."""
+"""Tests of prompts too long for one engine, with real processes."""
 
 import asyncio
 import signal
@@ -10,8 +10,8 @@
 from tarragonward_standins.site import SitePlan
 from tarragonward_wire import async_send_http
 
-TOKENS = 1_000_000
-LONGEST = "the whole season's ledger " * (TOKENS * 4 // 26)
+PROMPT_TOKENS = 1_000_000
+LONG_PROMPT = "the whole season's ledger " * (PROMPT_TOKENS * 4 // 26)
 PLAN = SitePlan(engine_time_scale=0.01)
 
 
@@ -20,9 +20,9 @@
     return answer.parse_json()
 
 
-async def async_wait_idle(site, seconds):
-    """Wait until every engine has all its memory back."""
-    async with asyncio.timeout(seconds):
+async def async_wait_idle(site, timeout_seconds):
+    """Wait until all KV memory of every engine is free."""
+    async with asyncio.timeout(timeout_seconds):
         while True:
             loads = [await async_get_load(site, engine) for engine in site.engines]
             if all(load["free_kv_tokens"] == load["kv_tokens"] for load in loads):
@@ -30,7 +30,7 @@
             await asyncio.sleep(0.1)
 
 
-async def async_ask(site, host, prompt=LONGEST, time_limit=60):
+async def async_send_prompt(site, host, prompt=LONG_PROMPT, time_limit=60):
     return await async_complete(
         host.callers, site.tokens["camara"], site.plan.model, prompt, 8, time_limit
     )
@@ -38,29 +38,32 @@
 
 async def test_a_prompt_of_a_million_tokens_runs_on_a_group(make_site):
     site = await make_site(PLAN)
-    result = await async_ask(site, next(iter(site.hosts.values())))
+    result = await async_send_prompt(site, next(iter(site.hosts.values())))
     assert result.outcome is Outcome.WHOLE, result
     await async_wait_idle(site, 5)
 
 
-async def test_two_hosts_that_want_the_same_engines_both_end(make_site):
-    """Two hosts ask for a group at once, and there is memory for one at a time.
+async def test_hosts_that_compete_for_the_same_engines_do_not_deadlock(make_site):
+    """Two hosts request a group at once, with memory for one group at a time.
 
-    Each needs three engines of four. If each kept what it got while it waits for the
-    rest, both would wait for ever; one gives way, and all four prompts end.
+    Each group needs three of four engines. If each host kept a partial reservation
+    while it waits for the rest, both would wait for ever. One releases its
+    reservations, and all four prompts complete.
     """
     site = await make_site(PLAN)
     hosts = list(site.hosts.values())[:2] * 2
-    prompts = [f"{number} {LONGEST}" for number in range(len(hosts))]
-    results = await asyncio.gather(*map(async_ask_again, [site] * 4, hosts, prompts))
+    prompts = [f"{number} {LONG_PROMPT}" for number in range(len(hosts))]
+    results = await asyncio.gather(
+        *map(async_send_prompt_with_retries, [site] * 4, hosts, prompts)
+    )
     assert [result.outcome for result in results] == [Outcome.WHOLE] * 4, results
     await async_wait_idle(site, 5)
 
 
-async def async_ask_again(site, host, prompt):
-    """Come back as the answer says, as callers do."""
+async def async_send_prompt_with_retries(site, host, prompt):
+    """Repeat a refused prompt each second, up to 30 times."""
     for _ in range(30):
-        result = await async_ask(site, host, prompt)
+        result = await async_send_prompt(site, host, prompt)
         if result.code not in (ResultCode.OVERLOADED.number, 2002):
             return result
         await asyncio.sleep(1.0)
@@ -68,44 +71,44 @@
 
 
 @pytest.mark.timeout(90)
-async def test_half_a_group_of_a_killed_host_is_freed(make_site):
-    """The host dies between two reservations of one group.
+async def test_a_partial_group_reservation_of_a_killed_host_is_released(make_site):
+    """The host is killed between two reservations of one group.
 
-    The second engine is frozen, so the host holds the first one's memory and waits.
-    It is killed there; nobody else knows of the request. The sweep of another host
-    finds the reservation, sees that its owner is gone, and frees it. The caller's
-    next try runs, as the memory is there again.
+    The second engine is frozen, so the host waits with the first one's memory reserved.
+    It is killed then, and no other host knows of the request. Another host's sweep
+    finds the reservation, sees that its owner is gone and releases it, so that the
+    caller's next attempt completes.
     """
     site = await make_site(PLAN)
     first, other = list(site.hosts.values())[:2]
     engines = sorted(site.engines)
     for engine in engines[1:]:
         site.send_signal(engine, signal.SIGSTOP)
-    asking = asyncio.create_task(async_ask(site, first, time_limit=5))
+    request_task = asyncio.create_task(async_send_prompt(site, first, time_limit=5))
     async with asyncio.timeout(5):
         while not (await async_get_load(site, engines[0]))["reservations"]:
             await asyncio.sleep(0.02)
     await site.async_kill(first.name)
     for engine in engines[1:]:
         site.send_signal(engine, signal.SIGCONT)
-    assert (await asking).outcome is Outcome.FAILED_IN_TIME
+    assert (await request_task).outcome is Outcome.FAILED_IN_TIME
     await async_wait_idle(site, 40)
-    result = await async_ask_again(site, other, LONGEST)
+    result = await async_send_prompt_with_retries(site, other, LONG_PROMPT)
     assert result.outcome is Outcome.WHOLE, result
 
 
-async def test_a_conversation_goes_where_its_prefix_is_cached(make_site):
-    """A merchandiser sends the same long plan again and again.
+async def test_a_conversation_is_routed_to_the_engine_that_caches_its_prefix(make_site):
+    """The same long prompt prefix is sent repeatedly.
 
-    Each engine that reads it keeps its blocks and publishes a cache event; the host
-    hears of the first one, and sends what follows there, so no other engine ever
-    reads the plan.
+    The first engine that prefills it caches its blocks and publishes a cache event. The
+    host receives the event and sends later requests to that engine, so no other engine
+    ever prefills the prefix.
     """
     site = await make_site()
     host = next(iter(site.hosts.values()))
     plan = "aisle seven, bay four, shelf two " * 2_500
     for number in range(5):
-        result = await async_ask(site, host, f"{plan} turn {number}")
+        result = await async_send_prompt(site, host, f"{plan} turn {number}")
         assert result.outcome is Outcome.WHOLE, result
         await asyncio.sleep(1.5)
     loads = [await async_get_load(site, engine) for engine in site.engines]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership with real processes: killed, returned, frozen, cut off."""
+"""Tests of membership with hosts that are killed, restarted, frozen and partitioned."""
 
 import asyncio
 import signal
@@ -6,8 +6,8 @@
 from tarragonward_standins.client import Outcome, async_complete
 from tarragonward_standins.site import SitePlan
 
-AGREE_SECONDS = 20.0
-CUT_SECONDS = 10.0
+CONVERGENCE_TIMEOUT_SECONDS = 20.0
+PARTITION_SECONDS = 10.0
 
 
 async def async_get_states(site, name):
@@ -15,21 +15,21 @@
     return {member["name"]: member["state"] for member in status["members"]}
 
 
-async def async_wait_states(site, names, wanted):
-    """Wait until all these hosts believe what is wanted of the others."""
-    async with asyncio.timeout(AGREE_SECONDS):
+async def async_wait_states(site, names, expected):
+    """Wait until all these hosts report the expected states of other members."""
+    async with asyncio.timeout(CONVERGENCE_TIMEOUT_SECONDS):
         while True:
-            seen = [await async_get_states(site, name) for name in names]
-            if all(wanted.items() <= states.items() for states in seen):
+            views = [await async_get_states(site, name) for name in names]
+            if all(expected.items() <= states.items() for states in views):
                 return
             await asyncio.sleep(0.1)
 
 
-async def test_a_killed_host_is_dead_to_all_and_alive_again_when_it_returns(make_site):
-    """A host dies and comes back under its address; all others must find out.
+async def test_a_killed_host_is_dead_to_all_and_alive_after_its_restart(make_site):
+    """A host is killed and restarted at its address; all others must detect both.
 
-    Those of its domain stop to get answers, helpers do not reach it, suspicion is not
-    refuted. The next life answers probes and is alive to all.
+    Direct and indirect probes get no answer, and nobody refutes the suspicion. The next
+    incarnation answers probes and is alive to all.
     """
     site = await make_site(SitePlan(hosts_per_domain=3))
     killed, *others = site.hosts
@@ -40,11 +40,11 @@
     await async_wait_states(site, others, {killed: "alive"})
 
 
-async def test_a_frozen_host_that_wakes_holds_nobody_for_dead(make_site):
-    """A host is stopped for longer than a suspicion lasts, and goes on.
+async def test_a_resumed_host_declares_no_member_dead(make_site):
+    """A host is frozen for longer than the suspicion time-out, and resumed.
 
-    The others hold it for dead meanwhile. It wakes with overdue probes, declares
-    nobody dead, and is alive to the others again.
+    The others declare it dead meanwhile. It resumes with overdue probes, must declare
+    nobody dead because of them, and is alive to the others again.
     """
     site = await make_site(SitePlan(hosts_per_domain=2))
     frozen, *others = site.hosts
@@ -60,34 +60,35 @@
     assert "dead" not in states.values()
 
 
-async def test_a_host_that_cannot_be_reached_lives_as_long_as_it_reaches_others(
-    make_site,
-):
-    """One direction of a host's network fails: nothing that is sent to it arrives.
+async def test_a_host_that_only_sends_is_not_declared_dead(make_site):
+    """One direction of a host's network fails: nothing sent to it arrives.
 
-    The others' probes are swallowed, helpers' too. Its own probes still arrive and
-    show that it lives, so its streams are not swept and nobody holds it for dead.
+    Direct and indirect probes of the host are lost. Its own probes still arrive and
+    show that it is alive, so nobody declares it dead and its streams are not swept.
     """
     site = await make_site(
         SitePlan(failure_domains=("north",), hosts_per_domain=3, has_proxies=True)
     )
-    unreached, *others = site.hosts
-    await async_wait_states(site, others, {unreached: "alive"})
-    site.proxies[f"peers-{unreached}"].faults.blackhole_to_target = True
-    end = asyncio.get_running_loop().time() + CUT_SECONDS
+    unreachable, *others = site.hosts
+    await async_wait_states(site, others, {unreachable: "alive"})
+    site.proxies[f"peers-{unreachable}"].faults.blackhole_to_target = True
+    end = asyncio.get_running_loop().time() + PARTITION_SECONDS
     while asyncio.get_running_loop().time() < end:
         for name in others:
-            assert (await async_get_states(site, name))[unreached] != "dead"
+            assert (await async_get_states(site, name))[unreachable] != "dead"
         await asyncio.sleep(0.2)
-    site.proxies[f"peers-{unreached}"].faults.blackhole_to_target = False
-    await async_wait_states(site, others, {unreached: "alive"})
+    site.proxies[f"peers-{unreachable}"].faults.blackhole_to_target = False
+    await async_wait_states(site, others, {unreachable: "alive"})
 
 
-async def test_domains_cut_from_each_other_serve_on_and_agree_again(make_site):
-    """All links between hosts are cut, with callers on each side.
+async def test_partitioned_domains_keep_serving_and_converge_after_the_partition(
+    make_site,
+):
+    """All links between hosts of two domains are cut, with callers on each side.
 
-    Each side holds the other for dead and goes on to answer its callers. When the cut
-    heals, dead hosts that are listed are probed again, and all are alive to all.
+    Each side declares the other dead and keeps serving its callers. After the
+    partition, dead hosts on the host list are probed again, and all become alive to
+    all.
     """
     site = await make_site(SitePlan(hosts_per_domain=1, has_proxies=True))
     names = list(site.hosts)
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -1,4 +1,4 @@
-"""Tests of model requests under failure, with real processes."""
+"""Tests of model requests under failures, with real processes."""
 
 import asyncio
 import signal
@@ -19,12 +19,14 @@
 from tarragonward_standins.site import SitePlan
 from tarragonward_wire import async_open_http, async_send_http
 
-TOKENS = 150
-LIMIT = 20.0
+MAX_TOKENS = 150
+TIME_LIMIT_SECONDS = 20.0
 ONE_DOMAIN = SitePlan(failure_domains=("north",), services_per_domain=0)
 
 
-def ask(site, name, host="entry-north-1", tokens=TOKENS, limit=LIMIT):
+def start_request(
+    site, name, host="entry-north-1", tokens=MAX_TOKENS, limit=TIME_LIMIT_SECONDS
+):
     prompt = make_prompt(name, tokens)
     token = site.tokens["shelfwise"]
     callers = site.hosts[host].callers
@@ -33,19 +35,19 @@
     )
 
 
-async def count_streams(site, engine):
+async def async_count_streams(site, engine):
     report = await async_read_load(site.engines[engine])
-    # A site is up when its hosts are; an engine may still be starting.
+    # A site counts as up once its hosts are; an engine may still be starting.
     return 0 if report is None else len(report["streams"])
 
 
-async def wait_for_streams(site, engine, count=1):
+async def async_wait_for_streams(site, engine, count=1):
     async with asyncio.timeout(10):
-        while await count_streams(site, engine) < count:
+        while await async_count_streams(site, engine) < count:
             await asyncio.sleep(0.02)
 
 
-async def set_leaving(site, engine):
+async def async_set_leaving(site, engine):
     hosts = site.build_host_list()
     for item in hosts:
         if item["name"] == engine:
@@ -53,17 +55,17 @@
     await site.async_set_hosts(hosts)
 
 
-async def watch_streams(site, engine, asking):
-    """Return the ids of all streams that the engine reports until the answer ends."""
-    seen = set()
-    while not asking.done():
+async def async_watch_streams(site, engine, pending):
+    """Return the ids of all streams that the engine reports until the request ends."""
+    stream_ids = set()
+    while not pending.done():
         report = await async_read_load(site.engines[engine])
-        seen |= set(report["streams"])
+        stream_ids |= set(report["streams"])
         await asyncio.sleep(0.02)
-    return seen
+    return stream_ids
 
 
-def assert_all_whole(results):
+def assert_all_complete(results):
     assert [r for r in results if r.outcome is not Outcome.WHOLE] == []
 
 
@@ -79,127 +81,137 @@
         yield async_make
 
 
-async def test_an_engine_killed_mid_stream_leaves_every_answer_whole(make_site):
-    """Merchandisers read rewrites of bays when an engine dies under half of them.
+async def test_streams_of_a_killed_engine_are_completed_by_another(make_site):
+    """An engine is killed while it serves about half of the streams.
 
-    Its connections end, the resume meets a closed port, and the other engine goes on
-    from the prompt plus the text that was given out; the callers see a short gap.
+    Its connections end, and the attempt to resume finds a closed port. The other engine
+    continues from the prompt plus the text already sent; callers only see a gap.
     """
     site = await make_site(ONE_DOMAIN)
-    asking = [ask(site, f"bay {n}") for n in range(6)]
-    await wait_for_streams(site, "engine-north-1", 2)
+    pending = [start_request(site, f"bay {n}") for n in range(6)]
+    await async_wait_for_streams(site, "engine-north-1", 2)
     await asyncio.sleep(0.3)
     await site.async_kill("engine-north-1")
-    assert_all_whole(await asyncio.gather(*asking))
+    assert_all_complete(await asyncio.gather(*pending))
     assert await async_wait_idle(site, 10) == {}
 
 
 async def test_a_connection_dropped_mid_frame_is_resumed(make_site, proxies):
-    """Half a line comes from the engine, then its connection ends, again and again.
+    """The connection to the engine repeatedly ends within a line.
 
-    The stream lives on there; the host asks for it from the offset of the last whole
-    token, and the caller reads each token once.
+    The stream stays alive on the engine. The host resumes it at the offset of the last
+    complete token, and the caller reads each token once.
     """
     plan = SitePlan(("north",), engines_per_domain=1, services_per_domain=0)
     site = await make_site(plan)
     proxy = await proxies(site, "engine-north-1")
     proxy.faults.close_after_bytes = 2_001
-    asking = ask(site, "aisle")
-    seen = await watch_streams(site, "engine-north-1", asking)
-    assert_all_whole([await asking])
-    assert len(seen) == 1
+    pending = start_request(site, "aisle")
+    stream_ids = await async_watch_streams(site, "engine-north-1", pending)
+    assert_all_complete([await pending])
+    assert len(stream_ids) == 1
     assert await async_wait_idle(site, 10) == {}
 
 
-async def test_a_frozen_engine_is_left_and_its_memory_comes_back(make_site):
-    """An engine stops answering, its connections stay open, nothing is refused.
+async def test_streams_leave_a_frozen_engine_and_its_memory_is_released(make_site):
+    """An engine stops answering while its connections stay open.
 
-    The stream is silent, the probe of the engine is not answered, so the other engine
-    goes on; when the frozen one wakes, the repeated cancel frees what it held.
+    The stream is silent and a probe of the engine gets no answer, so the other engine
+    continues it. Once the frozen engine is resumed, the retried cancel releases its
+    memory.
     """
     site = await make_site(ONE_DOMAIN)
-    asking = [ask(site, f"bay {n}") for n in range(4)]
-    await wait_for_streams(site, "engine-north-1")
+    pending = [start_request(site, f"bay {n}") for n in range(4)]
+    await async_wait_for_streams(site, "engine-north-1")
     await asyncio.sleep(0.3)
     site.send_signal("engine-north-1", signal.SIGSTOP)
-    assert_all_whole(await asyncio.gather(*asking))
+    assert_all_complete(await asyncio.gather(*pending))
     site.send_signal("engine-north-1", signal.SIGCONT)
     assert await async_wait_idle(site, 15) == {}
 
 
-async def test_a_long_prefill_is_not_taken_for_a_frozen_engine(make_site):
-    """A season's ledger is read for seconds before its first token.
+async def test_a_long_prefill_is_not_mistaken_for_a_frozen_engine(make_site):
+    """A long prompt is prefilled for seconds before its first token.
 
-    The stream is silent for longer than a silence is borne, but the engine answers
-    the probe and lists the stream, so the one attempt goes on.
+    The stream is silent for longer than the silence time-out, but the engine answers
+    the probe and lists the stream, so the host keeps the attempt.
     """
     plan = SitePlan(("north",), engines_per_domain=1, services_per_domain=0)
     site = await make_site(plan)
-    ledger = make_prompt("ledger " * 50_000, 8)
+    long_prompt = make_prompt("ledger " * 50_000, 8)
     host = site.hosts["entry-north-1"]
-    asking = asyncio.ensure_future(
+    pending = asyncio.ensure_future(
         async_complete(
-            host.callers, site.tokens["camara"], site.plan.model, ledger, 8, LIMIT
+            host.callers,
+            site.tokens["camara"],
+            site.plan.model,
+            long_prompt,
+            8,
+            TIME_LIMIT_SECONDS,
         )
     )
-    await wait_for_streams(site, "engine-north-1")
-    seen = await watch_streams(site, "engine-north-1", asking)
-    assert_all_whole([await asking])
-    assert len(seen) == 1
+    await async_wait_for_streams(site, "engine-north-1")
+    stream_ids = await async_watch_streams(site, "engine-north-1", pending)
+    assert_all_complete([await pending])
+    assert len(stream_ids) == 1
 
 
-async def test_a_killed_hosts_memory_is_swept(make_site):
-    """A host dies while its callers' streams run; they read to nobody's end.
+async def test_streams_of_a_killed_host_are_swept(make_site):
+    """A host is killed while its callers' streams run on the engines.
 
-    Its port refuses for some seconds, so another host of the domain cancels what the
-    dead incarnation held, and free memory returns to its idle figure.
+    Its port refuses connections for some seconds, so another host of the domain cancels
+    the streams of the dead incarnation, and the engines' memory is free again.
     """
     site = await make_site(ONE_DOMAIN)
-    asking = [ask(site, f"bay {n}", "entry-north-2", 400) for n in range(4)]
-    await wait_for_streams(site, "engine-north-1", 2)
+    pending = [start_request(site, f"bay {n}", "entry-north-2", 400) for n in range(4)]
+    await async_wait_for_streams(site, "engine-north-1", 2)
     await site.async_kill("entry-north-2")
-    results = await asyncio.gather(*asking)
+    results = await asyncio.gather(*pending)
     assert all(r.outcome is Outcome.FAILED_IN_TIME for r in results)
     assert await async_wait_idle(site, 15) == {}
 
 
-async def test_a_killed_hosts_reservations_are_swept(make_site):
-    """A host dies while a season's ledger is read on a group of engines.
+async def test_reservations_of_a_killed_host_are_swept(make_site):
+    """A host is killed while a group of engines prefills a long prompt.
 
-    Its reservations hold most of two engines; another host of the domain cancels them
-    once the dead incarnation is known gone, and a prompt as long as that runs again.
+    Its reservations hold most of two engines' memory. Another host of the domain
+    cancels them once the incarnation is known to be gone, and a prompt of that length
+    runs again.
     """
     plan = SitePlan(("north",), services_per_domain=0, kv_tokens=30_000)
     site = await make_site(plan)
-    ledger = make_prompt("ledger " * 25_000, 8)
+    long_prompt = make_prompt("ledger " * 25_000, 8)
 
-    def ask_long(host):
+    def start_long_request(host):
         callers, token = site.hosts[host].callers, site.tokens["camara"]
-        asking = async_complete(callers, token, site.plan.model, ledger, 8, LIMIT)
-        return asyncio.ensure_future(asking)
+        pending = async_complete(
+            callers, token, site.plan.model, long_prompt, 8, TIME_LIMIT_SECONDS
+        )
+        return asyncio.ensure_future(pending)
 
-    first = ask_long("entry-north-1")
+    first = start_long_request("entry-north-1")
     for engine in site.engines.values():
         while not (await async_read_load(engine))["reservations"]:
             await asyncio.sleep(0.05)
     await site.async_kill("entry-north-1")
     assert (await first).outcome is Outcome.FAILED_IN_TIME
     assert await async_wait_idle(site, 15) == {}
-    # Reports lag: refused once at the most, the caller comes back when it was told to.
-    result = await ask_long("entry-north-2")
+    # Load reports lag, so the first attempt may be refused with a Retry-After.
+    result = await start_long_request("entry-north-2")
     if result.retry_after_seconds:
         await asyncio.sleep(result.retry_after_seconds)
-        result = await ask_long("entry-north-2")
-    assert_all_whole([result])
+        result = await start_long_request("entry-north-2")
+    assert_all_complete([result])
 
 
-async def test_a_host_woken_past_the_limit_writes_no_text(make_site):
-    """A host is frozen in the middle of an answer until its time limit has passed.
+async def test_a_host_resumed_after_the_time_limit_writes_no_text(make_site):
+    """A host is frozen during an answer until the time limit has passed.
 
-    Tokens wait in its sockets meanwhile. Awake, it must not pass them on: the caller
-    reads the deadline's error and nothing else, and the engine's memory comes back.
-    Only the one text that was past its check when the freeze came may still be written:
-    no process can check the time and write to a socket in one step.
+    Tokens wait in its sockets meanwhile. Once resumed it must not forward them: the
+    caller reads DEADLINE_EXCEEDED and nothing else, and the engine's memory is
+    released. Only one text that had passed the deadline check before the freeze may
+    still be written, since no process can check the time and write to a socket in one
+    step.
     """
     site = await make_site(ONE_DOMAIN)
     prompt = make_prompt("bay", 100)
@@ -208,71 +220,73 @@
         "x-time-limit-seconds": "5",
     }
     body = build_completion_body(site, prompt, 100)
-    texts = []
-    reading = asyncio.ensure_future(read_events(site, headers, body, texts))
-    while len(texts) < 20 and not reading.done():
+    received = []
+    read_task = asyncio.ensure_future(async_read_events(site, headers, body, received))
+    while len(received) < 20 and not read_task.done():
         await asyncio.sleep(0.02)
     site.send_signal("entry-north-1", signal.SIGSTOP)
     await asyncio.sleep(2.0)
-    read_before = len(texts)
+    count_before = len(received)
     await asyncio.sleep(3.5)
     site.send_signal("entry-north-1", signal.SIGCONT)
-    await reading
-    *begun, end = texts[read_before:]
-    assert len(begun) <= 1
-    assert not any("error" in event for event in begun)
-    assert end["error"]["code"] == ResultCode.DEADLINE_EXCEEDED.number
+    await read_task
+    *late_events, final_event = received[count_before:]
+    assert len(late_events) <= 1
+    assert not any("error" in event for event in late_events)
+    assert final_event["error"]["code"] == ResultCode.DEADLINE_EXCEEDED.number
     assert await async_wait_idle(site, 10) == {}
 
 
-async def test_a_leaving_engine_gets_no_new_work_and_ends_what_it_has(make_site):
-    """An engine is about to be replaced; the platform's list says that it is leaving.
+async def test_a_leaving_engine_gets_no_new_work_and_completes_its_streams(make_site):
+    """The host list marks an engine as leaving.
 
-    The stream in progress there ends whole. Some seconds later nothing new is opened
-    on it, also not a failover when the other engine dies: better refused than there.
+    Its streams complete. Some seconds later no new stream is opened on it, not even as
+    a failover when the other engine is killed: the requests fail instead.
     """
     site = await make_site(ONE_DOMAIN)
-    asking = [ask(site, f"aisle {n}", tokens=400) for n in range(2)]
-    await wait_for_streams(site, "engine-north-1")
-    await set_leaving(site, "engine-north-1")
-    assert_all_whole(await asyncio.gather(*asking))
+    pending = [start_request(site, f"aisle {n}", tokens=400) for n in range(2)]
+    await async_wait_for_streams(site, "engine-north-1")
+    await async_set_leaving(site, "engine-north-1")
+    assert_all_complete(await asyncio.gather(*pending))
     await asyncio.sleep(3.0)
-    later = [ask(site, f"bay {n}") for n in range(6)]
-    await wait_for_streams(site, "engine-north-2", 6)
-    assert await count_streams(site, "engine-north-1") == 0
+    later = [start_request(site, f"bay {n}") for n in range(6)]
+    await async_wait_for_streams(site, "engine-north-2", 6)
+    assert await async_count_streams(site, "engine-north-1") == 0
     await site.async_kill("engine-north-2")
     results = await asyncio.gather(*later)
     assert {r.code for r in results} == {ResultCode.ENGINES_FAILED.number}
-    assert await count_streams(site, "engine-north-1") == 0
+    assert await async_count_streams(site, "engine-north-1") == 0
 
 
 async def test_a_stream_is_not_resumed_on_a_leaving_engine(make_site, proxies):
     """The connection to a leaving engine is reset in the middle of an answer.
 
-    Asking it for the rest would be new work there: the answer goes on at the other
-    engine, whole, and the stream that was left is cancelled.
+    Resuming there would be new work for it. The other engine completes the answer, and
+    the abandoned stream is cancelled.
     """
     site = await make_site(ONE_DOMAIN)
     proxy = await proxies(site, "engine-north-1")
-    asking = [ask(site, f"aisle {n}", tokens=500, limit=30) for n in range(2)]
-    await wait_for_streams(site, "engine-north-1")
-    await set_leaving(site, "engine-north-1")
+    pending = [
+        start_request(site, f"aisle {n}", tokens=500, limit=30) for n in range(2)
+    ]
+    await async_wait_for_streams(site, "engine-north-1")
+    await async_set_leaving(site, "engine-north-1")
     await asyncio.sleep(3.0)
-    assert not any(a.done() for a in asking)
+    assert not any(a.done() for a in pending)
     proxy.abort_connections()
-    await wait_for_streams(site, "engine-north-2", 2)
-    assert_all_whole(await asyncio.gather(*asking))
-    assert await count_streams(site, "engine-north-1") == 0
+    await async_wait_for_streams(site, "engine-north-2", 2)
+    assert_all_complete(await asyncio.gather(*pending))
+    assert await async_count_streams(site, "engine-north-1") == 0
 
 
-async def test_a_paused_owner_finds_its_stream_swept_and_goes_on(make_site):
-    """A host is frozen; another one takes it for gone and cancels its stream.
+async def test_a_paused_host_whose_stream_was_swept_starts_a_new_attempt(make_site):
+    """A host is frozen, and its stream is cancelled as if by another host's sweep.
 
-    Awake again in time, it finds the stream gone, makes a new attempt from the text
-    given out so far, and its caller reads every token once.
+    Resumed before the time limit, it finds the stream gone and starts a new attempt
+    from the text sent so far; its caller reads every token once.
     """
     site = await make_site(ONE_DOMAIN)
-    asking = ask(site, "aisle", tokens=200)
+    pending = start_request(site, "aisle", tokens=200)
     await asyncio.sleep(0.5)
     site.send_signal("entry-north-1", signal.SIGSTOP)
     for engine in site.engines.values():
@@ -280,45 +294,47 @@
             path = f"/v1/streams/{stream_id}"
             await async_send_http(engine, "DELETE", path, timeout=1.0)
     site.send_signal("entry-north-1", signal.SIGCONT)
-    assert_all_whole([await asking])
+    assert_all_complete([await pending])
     assert await async_wait_idle(site, 5) == {}
 
 
-async def test_an_engine_taken_out_of_the_configuration_gets_no_failover(make_site):
-    """The published configuration drops an engine while its streams run.
+async def test_an_engine_removed_from_the_configuration_gets_no_new_streams(make_site):
+    """A published configuration removes an engine while its streams run.
 
-    They end whole where they are; the engine is not chosen by any host afterwards.
+    They complete where they are, and no host selects the engine afterwards.
     """
     site = await make_site(ONE_DOMAIN)
-    asking = [ask(site, f"aisle {n}", tokens=300) for n in range(2)]
-    await wait_for_streams(site, "engine-north-1")
+    pending = [start_request(site, f"aisle {n}", tokens=300) for n in range(2)]
+    await async_wait_for_streams(site, "engine-north-1")
     await site.async_publish(0, [{"op": "remove", "path": "/targets/engine-north-1"}])
-    assert_all_whole(await asyncio.gather(*asking))
-    later = [ask(site, f"bay {n}") for n in range(4)]
-    await wait_for_streams(site, "engine-north-2", 4)
-    assert await count_streams(site, "engine-north-1") == 0
-    assert_all_whole(await asyncio.gather(*later))
+    assert_all_complete(await asyncio.gather(*pending))
+    later = [start_request(site, f"bay {n}") for n in range(4)]
+    await async_wait_for_streams(site, "engine-north-2", 4)
+    assert await async_count_streams(site, "engine-north-1") == 0
+    assert_all_complete(await asyncio.gather(*later))
 
 
-async def test_two_faults_at_once(make_site, proxies):
-    """One engine dies while the other's connections are reset and the platform is down.
+async def test_streams_survive_a_killed_engine_and_a_platform_outage(
+    make_site, proxies
+):
+    """One engine is killed, the other's connections reset, and the platform is down.
 
-    Those on the dead engine fail over, those on the other resume their streams, and
-    nobody asks the platform for anything on the way.
+    Streams of the killed engine fail over, those of the other are resumed, and neither
+    needs the platform.
     """
     site = await make_site(ONE_DOMAIN)
     proxy = await proxies(site, "engine-north-2")
-    asking = [ask(site, f"bay {n}") for n in range(6)]
-    await wait_for_streams(site, "engine-north-1", 2)
-    await wait_for_streams(site, "engine-north-2", 2)
+    pending = [start_request(site, f"bay {n}") for n in range(6)]
+    await async_wait_for_streams(site, "engine-north-1", 2)
+    await async_wait_for_streams(site, "engine-north-2", 2)
     await site.async_kill("platform")
     await site.async_kill("engine-north-1")
     proxy.abort_connections()
-    assert_all_whole(await asyncio.gather(*asking))
+    assert_all_complete(await asyncio.gather(*pending))
     assert await async_wait_idle(site, 10) == {}
 
 
-async def read_events(site, headers, body, events):
+async def async_read_events(site, headers, body, events):
     async with async_open_http(
         site.hosts["entry-north-1"].callers,
         "POST",
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path with real processes."""
+"""End-to-end tests with real processes."""
 
 from tarragonward_core import ResultCode
 from tarragonward_standins.client import (
@@ -9,7 +9,7 @@
 )
 
 
-async def test_a_completion_and_a_call_go_through_every_host(make_site):
+async def test_a_completion_goes_through_every_host(make_site):
     site = await make_site()
     token = site.tokens["shelfwise"]
     for host in site.hosts.values():
@@ -20,18 +20,18 @@
 
 
 async def test_a_repeat_through_another_host_gets_the_same_bytes(make_site):
-    """The clerk's phone repeats a confirmation through another host.
+    """A call is repeated through another host.
 
-    The key names the first host as owner; the second forwards the repeat to it and
-    gives the recorded answer. The service has run once.
+    The key names the first host as owner. The second host forwards the repeat to it and
+    returns the recorded answer; the service has run the call once.
     """
     site = await make_site()
     token = site.tokens["camara"]
     first, second, *_ = site.hosts.values()
     prefix = await async_get_key_prefix(first.callers, token)
     key = f"{prefix}.booking-1"
-    one = await async_call(first.callers, token, "approve", b"combine", key)
-    two = await async_call(second.callers, token, "approve", b"combine", key)
-    assert one.code == ResultCode.OK.number
-    assert (two.code, two.body) == (one.code, one.body)
-    assert b'"run":1' in two.body
+    original = await async_call(first.callers, token, "approve", b"combine", key)
+    repeat = await async_call(second.callers, token, "approve", b"combine", key)
+    assert original.code == ResultCode.OK.number
+    assert (repeat.code, repeat.body) == (original.code, original.body)
+    assert b'"run":1' in repeat.body
