--- a/tests/test_platform_day.py
+++ b/tests/test_platform_day.py
@@ -1,4 +1,4 @@
-"""Tests of real entry hosts on the stand-in of the users' platform."""
+"""Tests of real entry hosts on the platform's stand-in."""
 
 import asyncio
 import sys
@@ -25,16 +25,16 @@
 from tarragonward_standins.platform_store import StoreFault
 
 TEMPLATE = Path(__file__).parents[1] / "deploy" / "settings.toml"
-SMALL = PlatformPlan(zones=("a", "b"), models_per_zone=1)
-QUIET_STOP_SECONDS = 7.0
-FREE_SECONDS = 4.5
+ONE_MODEL_PER_ZONE = PlatformPlan(zones=("a", "b"), models_per_zone=1)
+GRACEFUL_STOP_TIMEOUT_SECONDS = 7.0
+MEMORY_RELEASE_TIMEOUT_SECONDS = 4.5
 
 
 @pytest.fixture
 async def make_site(tmp_path):
     sites = []
 
-    async def async_make(plan=SMALL):
+    async def async_make(plan=ONE_MODEL_PER_ZONE):
         site = PlatformSite(tmp_path, plan, TEMPLATE)
         sites.append(site)
         await site.async_setup()
@@ -45,60 +45,66 @@
         await site.async_unload()
 
 
-def explain(site, report):
-    """Return what a failed check needs to be traced."""
+def format_failure(site, report):
+    """Return the report and the ends of the hosts' logs for a failed assertion."""
     logs = "\n".join(site.read_log(host)[-3_000:] for host in site.hosts)
     return f"{report.format_line()} {report.score} {report.violations[:9]}\n{logs}"
 
 
-def ask(path, kind, **options):
+def build_request_plan(path, kind, **options):
     return RequestPlan(f"/{path.split('/')[1]}/", kind, HOST_NAME, path, **options)
 
 
-async def test_a_calm_day_is_served_whole_and_hosts_end_in_order(make_site):
+async def test_a_day_without_faults_is_served_completely_and_hosts_exit_cleanly(
+    make_site,
+):
     site = await make_site()
     report = await PlatformDay(site, DayPlan(seconds=2.0)).async_play()
-    assert not report.violations, explain(site, report)
-    assert 0 < report.score["sent"] == report.score["whole"], explain(site, report)
+    assert not report.violations, format_failure(site, report)
+    assert 0 < report.score["sent"] == report.score["whole"], format_failure(
+        site, report
+    )
     codes = await asyncio.gather(*map(site.async_stop_host, site.hosts))
     assert codes == [0] * len(site.hosts)
 
 
-async def test_runners_that_fail_in_all_ways_break_no_rule(make_site):
-    """Runners shed, break off, truncate, garble, reset and lose answers all at once.
+async def test_runners_with_all_faults_violate_no_invariant(make_site):
+    """Runners show every fault of RunnerFaults at once.
 
-    Callers hear of failures, and repeat what they may; no answer is mixed up, nothing
-    that may run once runs twice, and no stream has a gap.
+    Callers are told of failures and repeat idempotent requests. No answer is mixed up,
+    nothing non-idempotent runs twice, and no stream has a gap.
     """
     site = await make_site()
-    share = 0.07
+    fault_share = 0.07
     for runner in (*site.plain, *site.models):
-        runner.faults = RunnerFaults(*[share] * len(vars(RunnerFaults())))
+        runner.faults = RunnerFaults(*[fault_share] * len(vars(RunnerFaults())))
     day = DayPlan(seconds=2.0, drafts_per_second=30, leaving_share=0.05, seed=3)
     report = await PlatformDay(site, day).async_play()
-    assert not report.violations, explain(site, report)
+    assert not report.violations, format_failure(site, report)
     assert report.score["whole"] > report.score["sent"] / 2
 
 
 async def test_a_stream_goes_on_when_its_runner_crashes(make_site):
-    """A model runner dies while streams run on it; each ends whole at the other."""
+    """A model runner crashes while it streams; another runner completes the streams."""
     site = await make_site()
     day = PlatformDay(site, DayPlan(seconds=2.0, drafts_per_second=30, seed=4))
-    playing = asyncio.ensure_future(day.async_play())
+    day_task = asyncio.ensure_future(day.async_play())
     await asyncio.sleep(1.0)
-    crashing = asyncio.ensure_future(site.models[0].async_crash())
-    report = await playing
-    crashing.cancel()
-    assert not report.violations, explain(site, report)
-    assert report.score["whole"] > report.score["sent"] * 0.9, explain(site, report)
+    crash_task = asyncio.ensure_future(site.models[0].async_crash())
+    report = await day_task
+    crash_task.cancel()
+    assert not report.violations, format_failure(site, report)
+    assert report.score["whole"] > report.score["sent"] * 0.9, format_failure(
+        site, report
+    )
 
 
-async def test_a_request_that_crashes_runners_is_sent_to_few(make_site):
-    """Callers repeat, at any host, a request that ends each runner that begins it."""
+async def test_a_request_that_crashes_runners_is_sent_to_few_runners(make_site):
+    """A request that crashes every runner it reaches is repeated through all hosts."""
     site = await make_site(PlatformPlan(models_per_zone=3))
     day = PlatformDay(site, DayPlan(seconds=8.0, drafts_per_second=8, seed=7))
-    playing = asyncio.ensure_future(day.async_play())
-    plan = ask(
+    day_task = asyncio.ensure_future(day.async_play())
+    plan = build_request_plan(
         "/draft/crash",
         "stream",
         body=CRASH_PREFIX + b"1",
@@ -106,79 +112,84 @@
         is_resumable=True,
     )
     client = site.add_client()
-    while not playing.done():
+    while not day_task.done():
         await client.async_request(plan)
         await asyncio.sleep(0.3)
-    report = await playing
-    assert not report.violations, explain(site, report)
-    ended = find_crashed_runners(site.arrivals)
-    assert 3 <= len(ended) <= 6, explain(site, report)
+    report = await day_task
+    assert not report.violations, format_failure(site, report)
+    crashed_runners = find_crashed_runners(site.arrivals)
+    assert 3 <= len(crashed_runners) <= 6, format_failure(site, report)
 
 
-async def test_a_runner_that_names_a_limit_gets_no_more(make_site):
-    """One of three runners takes one request a second from all hosts together."""
+async def test_a_runner_that_states_a_rate_limit_is_not_sent_more(make_site):
+    """One of three runners accepts one request per second from all hosts together."""
     site = await make_site(PlatformPlan(plain_per_zone=1))
     site.plain[0].set_rate_limit(1.0)
     day = DayPlan(seconds=9.0, drafts_per_second=2, calls_per_second=30, seed=8)
     report = await PlatformDay(site, day).async_play()
-    assert not report.violations, explain(site, report)
-    assert report.score["whole"] > report.score["sent"] * 0.98, explain(site, report)
+    assert not report.violations, format_failure(site, report)
+    assert report.score["whole"] > report.score["sent"] * 0.98, format_failure(
+        site, report
+    )
 
 
-async def test_memory_of_prompts_on_several_engines_is_free_in_time(make_site):
-    """Prompts lie on several engines under reservations, and one engine dies.
+async def test_memory_of_prompts_on_several_engines_is_released_in_time(make_site):
+    """Prompts are spread over several engines by reservations, and one engine crashes.
 
-    What it held is gone; what other engines set aside for its requests must be free
-    again within the bound, and no reservation is used by two requests.
+    What it held is lost with it. The memory that the other engines reserved for its
+    requests must be released within the bound, and no reservation is used by two
+    requests.
     """
     sizes = PassSizes(memory_tokens=60_000)
     site = await make_site(PlatformPlan(("a", "b"), models_per_zone=2, sizes=sizes))
     day = PlatformDay(site, DayPlan(seconds=2.0, huge_per_second=8.0, seed=6))
-    playing = asyncio.ensure_future(day.async_play())
+    day_task = asyncio.ensure_future(day.async_play())
     await asyncio.sleep(1.2)
-    crashing = asyncio.ensure_future(site.models[0].async_crash())
-    await playing
+    crash_task = asyncio.ensure_future(site.models[0].async_crash())
+    await day_task
     with suppress(TimeoutError):
-        async with asyncio.timeout(FREE_SECONDS):
+        async with asyncio.timeout(MEMORY_RELEASE_TIMEOUT_SECONDS):
             while any(model.engine.reservations for model in site.models[1:]):
                 await asyncio.sleep(0.05)
-    await crashing
+    await crash_task
     report = day.judge()
     assert any(model.reservation_log.records for model in site.models)
-    assert not report.violations, explain(site, report)
+    assert not report.violations, format_failure(site, report)
 
 
-async def test_planned_work_cuts_off_nothing(make_site):
-    """A host is stopped, a runner is emptied and routes change under load.
+async def test_planned_maintenance_interrupts_no_request(make_site):
+    """A host is stopped, a runner is drained and routes change under load.
 
-    No request is lost or refused for good, the host's process ends by itself within
-    its grace, and the new routes are in force at every host within the bound.
+    No request is lost or finally refused, the host's process exits by itself within its
+    grace period, and all hosts apply the new routes within the bound.
     """
     site = await make_site()
     day = PlatformDay(site, DayPlan(seconds=4.5, calls_per_second=40, seed=5))
-    playing = asyncio.ensure_future(day.async_play())
+    day_task = asyncio.ensure_future(day.async_play())
     await asyncio.sleep(0.5)
-    leaving = asyncio.ensure_future(site.plain[0].async_drain(3.0))
+    leave_task = asyncio.ensure_future(site.plain[0].async_drain(3.0))
     site.publish(
         [*ROUTES, describe_route("new", "idempotent", PLAIN_SERVICE, attempts=2)]
     )
-    stopping = asyncio.ensure_future(site.async_stop_host(site.hosts[0]))
-    async with asyncio.timeout(QUIET_STOP_SECONDS):
-        code = await stopping
-    report = await playing
-    await leaving
+    stop_task = asyncio.ensure_future(site.async_stop_host(site.hosts[0]))
+    async with asyncio.timeout(GRACEFUL_STOP_TIMEOUT_SECONDS):
+        code = await stop_task
+    report = await day_task
+    await leave_task
     assert code == 0
-    assert not report.violations, explain(site, report)
-    assert not report.score["status_0"], explain(site, report)
-    new = await site.add_client("b").async_request(ask("/new/x", "idempotent"))
+    assert not report.violations, format_failure(site, report)
+    assert not report.score["status_0"], format_failure(site, report)
+    new = await site.add_client("b").async_request(
+        build_request_plan("/new/x", "idempotent")
+    )
     assert new.is_success
 
 
-async def test_a_host_refused_by_the_store_alone_goes_on_serving(make_site):
-    """The store turns one machine away, then forgets its history, then is silent.
+async def test_a_host_refused_by_the_store_keeps_serving(make_site):
+    """The store refuses one host, then loses its change history, then stops answering.
 
-    The host serves by what it knows. Back in touch, it reads all anew: a route that was
-    added and a runner that came meanwhile are used.
+    The host serves with the state it has. Once reconnected it reads everything anew and
+    uses the route that was added meanwhile.
     """
     site = await make_site()
     host = site.hosts[0]
@@ -187,11 +198,15 @@
     site.publish([*ROUTES, describe_route("new", "idempotent", MODEL_SERVICE)])
     site.store.drop_history()
     await asyncio.sleep(1.0)
-    assert (await client.async_request(ask("/look/1", "idempotent"))).is_success
+    assert (
+        await client.async_request(build_request_plan("/look/1", "idempotent"))
+    ).is_success
     host.store_endpoint.fault = StoreFault.SILENT
-    assert (await client.async_request(ask("/look/2", "idempotent"))).is_success
+    assert (
+        await client.async_request(build_request_plan("/look/2", "idempotent"))
+    ).is_success
     host.store_endpoint.fault = StoreFault.NONE
-    plan = ask("/new/x", "idempotent", method="GET")
+    plan = build_request_plan("/new/x", "idempotent", method="GET")
     async with asyncio.timeout(10):
         while not (await client.async_request(plan)).is_success:
             await asyncio.sleep(0.1)
@@ -199,21 +214,23 @@
     assert set(rules) <= {"CONFIG"}
 
 
-async def test_a_killed_host_costs_only_what_it_had_in_hand(make_site):
+async def test_a_killed_host_loses_only_its_requests_in_progress(make_site):
     site = await make_site()
     day = PlatformDay(site, DayPlan(seconds=2.5, seed=6))
-    playing = asyncio.ensure_future(day.async_play())
+    day_task = asyncio.ensure_future(day.async_play())
     await asyncio.sleep(1.0)
     await site.async_kill_host(site.hosts[0])
     await site.async_start_host(site.hosts[0])
-    report = await playing
+    report = await day_task
     rules = {rule for rule, _ in report.violations}
-    assert rules <= {"LOST"}, explain(site, report)
-    assert report.score["whole"] > report.score["sent"] * 0.8, explain(site, report)
+    assert rules <= {"LOST"}, format_failure(site, report)
+    assert report.score["whole"] > report.score["sent"] * 0.8, format_failure(
+        site, report
+    )
 
 
-async def test_the_demo_on_the_platform_ends_with_its_figures():
-    """`script/demo --platform` with a shorter day."""
+async def test_the_platform_demo_prints_its_results():
+    """Runs what `script/demo --platform` runs, for a shorter day."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -224,10 +241,10 @@
     )
     async with asyncio.timeout(60):
         output, _ = await process.communicate()
-    last = output.decode().splitlines()[-1]
-    figures = dict(part.split("=") for part in last.split())
-    assert int(figures["sent"]) == int(figures["whole"]) > 0, output.decode()
+    last_line = output.decode().splitlines()[-1]
+    results = dict(part.split("=") for part in last_line.split())
+    assert int(results["sent"]) == int(results["whole"]) > 0, output.decode()
     for name in ("wrong", "doubled", "broken_rules"):
-        assert figures[name] == "0", output.decode()
-    # Late ones say how busy this machine is, and are what else the exit code tells.
-    assert process.returncode == (0 if figures["late"] == "0" else 1)
+        assert results[name] == "0", output.decode()
+    # The exit code also reports late requests, which depend on this machine's load.
+    assert process.returncode == (0 if results["late"] == "0" else 1)
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -1,4 +1,4 @@
-"""Entries of any writer: they name no target, and those of targets hold."""
+"""Tests that invalid target entries are ignored and valid ones are used."""
 
 import json
 
@@ -17,7 +17,7 @@
 from tarragonward_gateway.state import GatewayState
 from tarragonward_platform.documents import DocumentParser
 
-GOOD = {
+VALID_ENTRY = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -28,19 +28,21 @@
     "seq": 3,
     "born": 1_769_576_506_004,
 }
-MANY = 100
-ANYTHING = st.recursive(
+MAX_EXAMPLES = 100
+ANY_JSON_VALUE = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
-    lambda inner: st.lists(inner) | st.dictionaries(st.text(max_size=9), inner),
+    lambda children: (
+        st.lists(children) | st.dictionaries(st.text(max_size=9), children)
+    ),
     max_leaves=12,
 )
 
 
-def write(entry):
+def encode_entry(entry):
     return json.dumps(entry).encode("utf-8", "surrogatepass")
 
 
-def is_right(field, value):
+def is_valid(field, value):
     """Return whether a value may stand in a field of a target's entry."""
     if field == "coldLeftMs":
         return type(value) in (int, float) and 0 <= value <= 86_400_000
@@ -54,25 +56,27 @@
 
 
 @st.composite
-def draw_bad_entry(draw):
-    """Return a target's entry that one change makes one which names no target."""
-    entry = dict(GOOD)
-    field = draw(st.sampled_from([name for name in GOOD if name != "born"]))
+def draw_invalid_entry(draw):
+    """Return a target's entry made invalid by the change of one field."""
+    entry = dict(VALID_ENTRY)
+    field = draw(st.sampled_from([name for name in VALID_ENTRY if name != "born"]))
     if draw(st.booleans()):
         del entry[field]
     else:
-        wrong = ANYTHING.filter(lambda value: not is_right(field, value))
-        entry[field] = draw(wrong)
-    return write(entry)
+        invalid_values = ANY_JSON_VALUE.filter(lambda value: not is_valid(field, value))
+        entry[field] = draw(invalid_values)
+    return encode_entry(entry)
 
 
-BAD = (
+INVALID_ENTRIES = (
     st.binary(max_size=200)
-    | ANYTHING.map(write)
-    | draw_bad_entry()
-    | st.sampled_from([b"[" * 100_000, b"\xff\xfe", write({**GOOD, "born": "1"})])
+    | ANY_JSON_VALUE.map(encode_entry)
+    | draw_invalid_entry()
     | st.sampled_from(
-        [write({**GOOD, "born": True}), b'{"slots": 1e999}', b"9" * 5_000]
+        [b"[" * 100_000, b"\xff\xfe", encode_entry({**VALID_ENTRY, "born": "1"})]
+    )
+    | st.sampled_from(
+        [encode_entry({**VALID_ENTRY, "born": True}), b'{"slots": 1e999}', b"9" * 5_000]
     )
 )
 
@@ -83,7 +87,7 @@
 
 
 def build_publications():
-    settings_ = GatewaySettings(
+    gateway_settings = GatewaySettings(
         name="h",
         failure_domain="d",
         callers=Address("127.0.0.1", 1),
@@ -94,60 +98,79 @@
         source=Address("127.0.0.1", 5),
         bounds=Bounds(),
     )
-    state = GatewayState(settings_, HeaderNames(), Paths())
+    state = GatewayState(gateway_settings, HeaderNames(), Paths())
     peers = Peers(state)
-    place = CellTracker(state, peers, read_clock).get_polling_order
-    return PublicationTask(state, None, DocumentParser(), peers, place)
+    polling_order = CellTracker(state, peers, read_clock).get_polling_order
+    return PublicationTask(state, None, DocumentParser(), peers, polling_order)
 
 
-def take(publications, *records):
+def apply_records(publications, *records):
     newest = max(record.revision for record in records)
     publications.apply(RecordBatch(records, newest, False), 0)
     return [target.name for target in publications._state.registry.get_ready("s")]
 
 
-@settings(max_examples=MANY, deadline=None)
-@given(entries=st.lists(BAD | st.just(None), min_size=1, max_size=8), data=st.data())
-def test_any_bytes_in_an_entry_name_no_target_and_the_others_hold(entries, data):
-    """Another writer leaves bytes of any kind among the entries, in any order.
+@settings(max_examples=MAX_EXAMPLES, deadline=None)
+@given(
+    entries=st.lists(INVALID_ENTRIES | st.just(None), min_size=1, max_size=8),
+    data=st.data(),
+)
+def test_invalid_entries_are_ignored_and_valid_ones_are_used(entries, data):
+    """Another writer leaves arbitrary bytes among the entries, in any order.
 
-    Nothing raises, none of them names a target that gets work, and the targets whose
-    own entries stand between them are all used.
+    Nothing raises, no invalid entry becomes a target, and the targets of all valid
+    entries between them are used.
     """
-    values = [write(GOOD) if entry is None else entry for entry in entries]
+    values = [
+        encode_entry(VALID_ENTRY) if entry is None else entry for entry in entries
+    ]
     order = data.draw(st.permutations(range(len(values))))
     records = [
-        Record(f"servers/i-{place}", 10 + place, values[place]) for place in order
+        Record(f"servers/i-{position}", 10 + position, values[position])
+        for position in order
     ]
     publications = build_publications()
     publications._state.registry.set_services(["s"])
-    # Each has an address of its own, so that none takes another one's place.
-    good = {f"i-{place}" for place, entry in enumerate(entries) if entry is None}
+    # Addresses are unique, since a target at a known address replaces the older one.
+    valid_ids = {
+        f"i-{position}" for position, entry in enumerate(entries) if entry is None
+    }
     records = [
-        Record(r.key, r.revision, set_address(r.value, place))
-        if entries[place] is None
+        Record(r.key, r.revision, set_address(r.value, position))
+        if entries[position] is None
         else r
-        for place, r in zip(order, records, strict=True)
+        for position, r in zip(order, records, strict=True)
     ]
-    assert set(take(publications, *records)) == good
+    assert set(apply_records(publications, *records)) == valid_ids
 
 
-def set_address(value, place):
-    return write({**json.loads(value), "address": f"10.0.0.1:{8_000 + place}"})
+def set_address(value, position):
+    return encode_entry(
+        {**json.loads(value), "address": f"10.0.0.1:{8_000 + position}"}
+    )
 
 
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nx: y", "a.b", "a/b", "é", "x" * 101])
-def test_a_key_that_can_be_no_id_names_no_target(publications, key):
-    assert take(publications, Record(f"servers/{key}", 1, write(GOOD))) == []
+def test_a_key_that_is_not_a_valid_id_is_ignored(publications, key):
+    assert (
+        apply_records(
+            publications, Record(f"servers/{key}", 1, encode_entry(VALID_ENTRY))
+        )
+        == []
+    )
 
 
-def test_a_target_whose_entry_another_writer_replaced_is_not_used(publications):
-    """An engine's entry is overwritten with bytes that say nothing, and it goes on.
+def test_a_target_whose_entry_was_overwritten_is_not_used(publications):
+    """Another writer overwrites a target's entry with bytes that cannot be parsed.
 
-    What the other writer knew is unknown here, so the engine gets no work until it
-    has written its entry again, about a second later.
+    The state of the target is then unknown, so it gets no work until it has written its
+    entry again, about a second later.
     """
-    assert take(publications, Record("servers/i-1", 1, write(GOOD))) == ["i-1"]
-    assert take(publications, Record("servers/i-1", 2, b"\xff")) == []
+    assert apply_records(
+        publications, Record("servers/i-1", 1, encode_entry(VALID_ENTRY))
+    ) == ["i-1"]
+    assert apply_records(publications, Record("servers/i-1", 2, b"\xff")) == []
     assert publications._state.metrics.get_count("target_records_refused") == 1
-    assert take(publications, Record("servers/i-1", 3, write(GOOD))) == ["i-1"]
+    assert apply_records(
+        publications, Record("servers/i-1", 3, encode_entry(VALID_ENTRY))
+    ) == ["i-1"]
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The users' platform stays behind its adapter."""
+"""Tests that names of the users' platform occur only in its adapter."""
 
 import platform
 import re
@@ -12,37 +12,41 @@
 CAMEL_CASE_FIELD = re.compile(r'"([a-z]+(?:[A-Z][a-z]+)+)"')
 
 
-def list_product_sources():
+def list_library_sources():
     sources = [*ROOT.glob("libraries/*/tarragonward_*/**/*.py")]
     return [path for path in sources if "standins" not in path.parts]
 
 
 def list_platform_names():
-    own, theirs = vars(HeaderNames()), vars(const.HEADERS)
-    headers = {theirs[field] for field in theirs if theirs[field] != own[field]}
+    default_names, platform_names = vars(HeaderNames()), vars(const.HEADERS)
+    headers = {
+        platform_names[field]
+        for field in platform_names
+        if platform_names[field] != default_names[field]
+    }
     fields = {
         name
         for path in ADAPTER.glob("*.py")
         for name in CAMEL_CASE_FIELD.findall(path.read_text(encoding="utf-8"))
     }
-    others = {const.STORE_RANGE, const.STORE_WATCH, const.TABLE_KEY}
-    return headers | fields | others | {const.SETTINGS_VARIABLE}
+    store_names = {const.STORE_RANGE, const.STORE_WATCH, const.TABLE_KEY}
+    return headers | fields | store_names | {const.SETTINGS_VARIABLE}
 
 
-def test_no_name_of_the_platform_stands_in_the_product():
+def test_the_libraries_use_no_name_of_the_platform():
     names = list_platform_names()
     assert len(names) > 25
     any_name = "|".join(map(re.escape, sorted(names)))
     pattern = re.compile(rf"(?<![\w-])(?:{any_name})(?![\w-])", re.IGNORECASE)
     found = [
         f"{path.relative_to(ROOT)}: {match[0]}"
-        for path in list_product_sources()
+        for path in list_library_sources()
         for match in pattern.finditer(path.read_text(encoding="utf-8"))
     ]
     assert found == []
 
 
-def test_the_adapter_does_not_hide_the_standard_library():
+def test_the_adapter_does_not_shadow_the_standard_library():
     assert platform.python_version()
     assert not (ROOT / "platform" / "__init__.py").exists()
 
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The store's calls and documents, by a server that answers as told."""
+"""Tests of the store's requests and documents against a scripted server."""
 
 import asyncio
 import base64
@@ -26,52 +26,52 @@
 
 @pytest.fixture
 async def make_reader():
-    """Return a function that makes a reader of a store with these answers, in turn."""
-    servers, asked = [], []
+    """Return a function that creates a reader of a store with these answers in turn."""
+    servers, requests = [], []
 
     async def async_make(*answers):
-        left = list(answers)
+        remaining = list(answers)
 
         async def async_answer(request, responder):
-            asked.append((request.path, request.query))
-            status, payload = left.pop(0)
+            requests.append((request.path, request.query))
+            status, payload = remaining.pop(0)
             await responder.async_send_json(status, payload)
 
         server = HttpServer(Address("127.0.0.1", 0), async_answer)
         await server.async_setup()
         servers.append(server)
-        return StoreReader(server.address), asked
+        return StoreReader(server.address), requests
 
     yield async_make
     for server in servers:
         await server.async_unload()
 
 
-async def test_pages_are_read_to_the_last_from_the_first_ones_revision(make_reader):
-    """A change between two pages stands in neither; the watch must bring it.
+async def test_a_paged_read_counts_as_of_its_first_page(make_reader):
+    """A change between two pages may be missing from both, so the watch must return it.
 
-    So the whole reading counts as of its first page: what came after is asked again.
+    The result therefore has the revision of its first page, and the watch starts there.
     """
     first = {"items": [build_item("a", 3)], "morePages": True, "asOf": 9}
     second = {"items": [build_item("b", 11)], "morePages": False, "asOf": 12}
-    reader, asked = await make_reader((200, first), (200, second))
-    reading, read = PagedRead(), None
-    while read is None:
-        page = await reader.async_read_page(reading.get_after_key(0.0), 1.0)
-        read = reading.add_page(page, 0.0)
-    assert [record.key for record in read.records] == ["a", "b"]
-    assert read.revision == 9
-    assert [query.get("after") for _, query in asked] == [None, "a"]
-
-
-async def test_a_watch_brings_values_and_withdrawals(make_reader):
-    gone = {"key": "servers/i-1", "revision": 5, "tombstone": True}
-    events = {"events": [build_item("op/config", 4, b"x"), gone], "asOf": 5}
-    reader, asked = await make_reader((200, events))
-    read = await reader.async_watch(3, 2.5, 1.0)
-    assert read.records[0].value == b"x"
-    assert read.records[1].value is None
-    assert asked[0][1]["waitMs"] == "2500"
+    reader, requests = await make_reader((200, first), (200, second))
+    paged_read, result = PagedRead(), None
+    while result is None:
+        page = await reader.async_read_page(paged_read.get_after_key(0.0), 1.0)
+        result = paged_read.add_page(page, 0.0)
+    assert [record.key for record in result.records] == ["a", "b"]
+    assert result.revision == 9
+    assert [query.get("after") for _, query in requests] == [None, "a"]
+
+
+async def test_a_watch_returns_values_and_tombstones(make_reader):
+    tombstone = {"key": "servers/i-1", "revision": 5, "tombstone": True}
+    events = {"events": [build_item("op/config", 4, b"x"), tombstone], "asOf": 5}
+    reader, requests = await make_reader((200, events))
+    result = await reader.async_watch(3, 2.5, 1.0)
+    assert result.records[0].value == b"x"
+    assert result.records[1].value is None
+    assert requests[0][1]["waitMs"] == "2500"
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
         (200, {"events": [], "asOf": None}, SourceError),
     ],
 )
-async def test_what_cannot_be_used_is_a_fault_of_the_source(
+async def test_an_unusable_answer_raises_a_source_error(
     make_reader, status, payload, error
 ):
     reader, _ = await make_reader((status, payload))
@@ -96,16 +96,16 @@
 
 
 @pytest.fixture
-async def open_trickle():
-    """Return a function that starts a store whose answer comes in pieces."""
+async def open_slow_store():
+    """Return a function that starts a store that sends its answer in chunks."""
     async with AsyncExitStack() as stack:
 
-        async def async_open(pieces, pause):
+        async def async_open(chunks, pause_seconds):
             async def async_answer(reader, writer):
                 await reader.readuntil(b"\r\n\r\n")
-                for piece in pieces:
-                    writer.write(piece)
-                    await asyncio.sleep(pause)
+                for chunk in chunks:
+                    writer.write(chunk)
+                    await asyncio.sleep(pause_seconds)
 
             server = await asyncio.start_server(async_answer, "127.0.0.1", 0)
             stack.callback(server.close)
@@ -114,39 +114,42 @@
         yield async_open
 
 
-def build_pieces(count):
+def build_chunks(count):
     events = [build_item("op/config", 4, b"x")]
     body = json.dumps({"events": events, "asOf": 5}).encode("ascii")
     head = f"HTTP/1.1 200 OK\r\ncontent-length: {len(body)}\r\n\r\n".encode("ascii")
     size = len(body) // (count - 1) + 1
-    return [head, *(body[at : at + size] for at in range(0, len(body), size))]
+    return [
+        head,
+        *(body[offset : offset + size] for offset in range(0, len(body), size)),
+    ]
 
 
-async def test_an_answer_that_keeps_coming_is_waited_for(open_trickle):
-    """A host works by an old table, as the new one never reaches it whole.
+async def test_a_slow_answer_that_makes_progress_is_received(open_slow_store):
+    """A large routing table takes longer over a slow link than the store may be silent.
 
-    The table is large and the host's link thin: the answer of the watch begins in time
-    and comes steadily, but takes longer than the store may be silent. Given up, all
-    that came is read again, over the same link, with the same end.
+    The answer of the watch starts in time and arrives steadily, so it is received to
+    its end. If it were abandoned, the same read would start over on the same link and
+    fail again, and the host would keep its outdated table.
     """
-    reader = await open_trickle(build_pieces(8), 0.1)
-    read = await reader.async_watch(3, 0.0, 0.3)
-    assert read.records[0].value == b"x"
-    assert read.age_seconds > 0.5
+    reader = await open_slow_store(build_chunks(8), 0.1)
+    result = await reader.async_watch(3, 0.0, 0.3)
+    assert result.records[0].value == b"x"
+    assert result.age_seconds > 0.5
 
 
-async def test_an_answer_that_stops_coming_is_given_up(open_trickle):
-    reader = await open_trickle(build_pieces(8)[:4], 0.05)
+async def test_an_answer_that_stalls_is_abandoned(open_slow_store):
+    reader = await open_slow_store(build_chunks(8)[:4], 0.05)
     with pytest.raises(SourceError, match="bytes of it came"):
         await reader.async_watch(3, 0.0, 0.3)
 
 
-async def test_a_store_that_is_not_there_is_a_fault_of_the_source():
+async def test_an_unreachable_store_raises_a_source_error():
     with pytest.raises(SourceError):
         await StoreReader(Address("127.0.0.1", 1)).async_read_page("", 0.5)
 
 
-ENTRY = {
+RUNNER_ENTRY = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "a",
@@ -183,15 +186,15 @@
     return DocumentParser().parse_table(record)
 
 
-def test_an_entry_of_a_runner_is_a_target():
-    record = Record("servers/i-1", 4, json.dumps(ENTRY).encode())
+def test_a_runner_entry_is_parsed_as_a_target():
+    record = Record("servers/i-1", 4, json.dumps(RUNNER_ENTRY).encode())
     target = DocumentParser().parse_target(record)
     assert (target.id, target.revision, target.is_ready) == ("i-1", 4, False)
     assert target.address == Address("10.0.0.1", 80)
     assert target.cold_start_remaining_seconds == 0.25
 
 
-def test_a_configuration_is_a_routing_table():
+def test_a_configuration_is_parsed_as_a_routing_table():
     table = parse_table(TABLE)
     route = table.select_route("h", "/p/x")
     assert route.kind is RequestKind.STREAM
@@ -201,9 +204,9 @@
 
 
 @pytest.mark.parametrize("field", ["version", "routes", "services", "limits"])
-def test_a_document_that_lacks_a_part_is_no_table(field):
+def test_a_document_that_lacks_a_section_is_rejected(field):
     assert parse_table({k: v for k, v in TABLE.items() if k != field}) is None
 
 
-def test_a_kind_that_is_not_known_is_no_table():
+def test_a_route_of_unknown_kind_is_rejected():
     assert parse_table({**TABLE, "routes": [{**ROUTE, "kind": "other"}]}) is None
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""Tests of how the daemon's process ends."""
+"""Tests of how the daemon's process exits."""
 
 import asyncio
 import signal
@@ -25,7 +25,7 @@
 
 
 def find_prompt(tokens):
-    """Return a prompt whose answer is not over before so many tokens."""
+    """Return a prompt whose answer has at least so many tokens."""
     prompts = (f"Redraft store {number}" for number in range(10_000))
     return next(p for p in prompts if expect_answer(p, tokens).tokens == tokens)
 
@@ -66,14 +66,13 @@
     assert "event=host_failed" in errors
 
 
-async def test_one_signal_ends_what_is_in_progress_then_the_process(make_site):
-    """An operator replaces a host while a merchandiser's answer streams.
+async def test_sigterm_completes_requests_before_the_process_exits(make_site):
+    """A host gets SIGTERM while an answer streams.
 
-    SIGTERM: the health check fails at once, the answer goes on to its end, then the
-    process ends with 0.
+    The health check fails at once, the answer completes, and the process exits with 0.
     """
     site = await make_site(PLAN)
-    answering = asyncio.create_task(
+    request_task = asyncio.create_task(
         async_complete(
             site.hosts[HOST].callers,
             site.tokens["shelfwise"],
@@ -84,28 +83,28 @@
         )
     )
     await async_wait_in_flight(site)
-    ending = asyncio.create_task(site.async_terminate(HOST, 30))
+    stop_task = asyncio.create_task(site.async_terminate(HOST, 30))
     await async_wait_unhealthy(site)
-    assert (await answering).outcome is Outcome.WHOLE
-    assert await ending == EXIT_OK
+    assert (await request_task).outcome is Outcome.WHOLE
+    assert await stop_task == EXIT_OK
 
 
 @pytest.mark.parametrize("is_by_signal", [True, False])
-async def test_a_second_signal_or_the_limit_ends_it_with_an_answer(
+async def test_a_second_sigterm_or_the_drain_timeout_answers_open_requests(
     make_site, is_by_signal
 ):
-    """The drain takes too long, and the host must go.
+    """A second SIGTERM or the drain time-out ends the drain before its requests do.
 
-    Each request in progress gets a numbered end with when to come back, not a cut
-    connection, and the exit code tells the operator that some were not whole.
+    Each request in progress gets an error with a result code and a retry delay rather
+    than a reset connection, and the exit code tells that requests were interrupted.
     """
-    limit = 60 if is_by_signal else 1
+    drain_timeout_seconds = 60 if is_by_signal else 1
     site = await make_site(
         SitePlan(
             failure_domains=("north",),
             hosts_per_domain=1,
             engines_per_domain=1,
-            limits={"drain_timeout_seconds": limit},
+            limits={"drain_timeout_seconds": drain_timeout_seconds},
         )
     )
     body = {
@@ -123,7 +122,7 @@
         body=orjson.dumps(body),
     ) as stream:
         assert stream.status == 200
-        ending = asyncio.create_task(site.async_terminate(HOST, 30))
+        stop_task = asyncio.create_task(site.async_terminate(HOST, 30))
         await async_wait_unhealthy(site)
         if is_by_signal:
             site.send_signal(HOST, signal.SIGTERM)
@@ -131,7 +130,7 @@
     error = orjson.loads(lines[-1].removeprefix(b"data: "))["error"]
     assert error["code"] == ResultCode.HOST_STOPPED.number
     assert error["retry_after_seconds"] >= 1
-    assert await ending == EXIT_CUT_OFF
+    assert await stop_task == EXIT_CUT_OFF
 
 
 async def async_wait_in_flight(site):
