--- a/libraries/standins/tests/test_engine_model.py
+++ b/libraries/standins/tests/test_engine_model.py
@@ -1,4 +1,4 @@
-"""Tests of the engine model: its assumptions, memory, order and cache."""
+"""Tests of the engine model: defaults, memory, scheduling and prefix cache."""
 
 from dataclasses import asdict, replace
 from pathlib import Path
@@ -12,7 +12,7 @@
 SMALL = EngineSizes(kv_tokens=10_000, chunk_tokens=1_000, block_tokens=100)
 
 
-def make_work(name, prompt=500, answer=10, **more):
+def build_work(name, prompt=500, answer=10, **more):
     return EngineWork(name, prompt, answer, **more)
 
 
@@ -23,67 +23,67 @@
     return first
 
 
-def test_the_settings_file_holds_the_defaults():
+def test_settings_file_equals_defaults():
     loaded = EngineSizes.load(ROOT / "examples" / "engine-assumptions.toml")
     assert asdict(loaded) == asdict(EngineSizes())
 
 
-def test_a_step_grows_with_prefill_batch_and_context():
+def test_step_time_grows_with_prefill_and_batch():
     times = []
     for prompt, others in ((500, 0), (1_000, 0), (1_000, 3)):
         model = EngineModel(SMALL)
         for number in range(others):
-            model.submit(make_work(f"other-{number}", 100))
+            model.submit(build_work(f"other-{number}", 100))
         if others:
             model.step()
-        model.submit(make_work("one", prompt))
+        model.submit(build_work("one", prompt))
         times.append(model.step().seconds)
     assert times == sorted(set(times))
 
 
-def test_priority_orders_prefill_and_a_small_chunk_leaves_room():
+def test_prefill_follows_priority_and_chunk_limit():
     model = EngineModel(SMALL)
-    model.submit(make_work("long", 5_000, priority=3, chunk_tokens=200))
+    model.submit(build_work("long", 5_000, priority=3, chunk_tokens=200))
     model.step()
     assert model.queued_prefill_tokens == 4_800
-    model.submit(make_work("short", 900))
+    model.submit(build_work("short", 900))
     result = model.step()
     assert result.first_tokens_for == ("short",)
     assert model.get_queued_by_priority() == {3: 4_700}
 
 
-def test_memory_runs_out_and_comes_back():
+def test_memory_is_limited_and_freed():
     model = EngineModel(SMALL)
-    assert model.submit(make_work("one", 6_000))
-    assert not model.submit(make_work("two", 6_000))
+    assert model.submit(build_work("one", 6_000))
+    assert not model.submit(build_work("two", 6_000))
     assert model.reserve("group", 3_000)
-    assert not model.submit(make_work("three", 1_500))
-    assert model.submit(make_work("leader", 6_000, reservation_id="group"))
-    assert not model.submit(make_work("stranger", 10, reservation_id="other"))
+    assert not model.submit(build_work("three", 1_500))
+    assert model.submit(build_work("leader", 6_000, reservation_id="group"))
+    assert not model.submit(build_work("stranger", 10, reservation_id="other"))
     for name in ("one", "leader"):
         model.remove(name)
     model.release("group")
     assert model.free_kv_tokens == SMALL.kv_tokens
 
 
-def test_a_prefix_is_cached_until_memory_is_needed():
+def test_prefix_is_cached_until_memory_is_needed():
     model = EngineModel(SMALL)
     hashes = tuple(range(5))
-    model.submit(make_work("one", 500, prefix_hashes=hashes))
+    model.submit(build_work("one", 500, prefix_hashes=hashes))
     run_until_idle(model)
     model.remove("one")
-    model.submit(make_work("two", 800, prefix_hashes=(*hashes, 9)))
+    model.submit(build_work("two", 800, prefix_hashes=(*hashes, 9)))
     assert model.queued_prefill_tokens == 300
     model.remove("two")
-    model.submit(make_work("big", 9_900))
+    model.submit(build_work("big", 9_900))
     events = list(model.get_cache_events(0))
     assert [event.sequence for event in events] == list(range(1, len(events) + 1))
     assert set(events[-1].removed) <= set(hashes)
 
 
-def test_an_exported_work_goes_on_where_it_was():
+def test_exported_request_continues_on_another_engine():
     one, two = EngineModel(SMALL), EngineModel(SMALL)
-    one.submit(make_work("work", 1_500, 5))
+    one.submit(build_work("work", 1_500, 5))
     one.step()
     assert two.import_kv(one.export_kv("work"))
     assert one.free_kv_tokens == SMALL.kv_tokens
@@ -93,11 +93,11 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 6), st.integers(1, 4_000)), max_size=40))
-def test_memory_is_never_lost_or_doubled(steps):
+def test_memory_accounting_is_exact(steps):
     model = EngineModel(replace(SMALL, max_batch=3))
     for number, (kind, size) in enumerate(steps):
         if kind <= 1:
-            work = make_work(f"w{number}", size, priority=kind, chunk_tokens=size // 2)
+            work = build_work(f"w{number}", size, priority=kind, chunk_tokens=size // 2)
             model.submit(work)
         elif kind == 2:
             model.reserve(f"w{number}", size)
--- a/libraries/standins/tests/test_fault_proxy.py
+++ b/libraries/standins/tests/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of links that lose, hold and swallow what passes through them."""
+"""Tests of the fault proxy."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 @pytest.fixture
-async def link():
+async def proxy():
     async def async_echo(reader, writer):
         while data := await reader.read(100):
             writer.write(data)
@@ -25,48 +25,48 @@
     server.close()
 
 
-async def async_open(link):
-    return await asyncio.open_connection(link.address.host, link.address.port)
+async def async_open(proxy):
+    return await asyncio.open_connection(proxy.address.host, proxy.address.port)
 
 
-async def async_echo_through(connection, data=b"x"):
+async def async_roundtrip(connection, data=b"x"):
     reader, writer = connection
     writer.write(data)
     async with asyncio.timeout(5):
         return await reader.readexactly(len(data))
 
 
-async def test_open_connections_go_silent_for_good_and_new_ones_work(link):
-    """No bytes and no end come back; only a time-out of the caller's own shows it."""
-    old = await async_open(link)
-    assert await async_echo_through(old) == b"x"
-    link.blackhole_open_connections()
+async def test_open_connections_are_blackholed_and_new_ones_work(proxy):
+    """Neither data nor EOF arrives, so only the caller's own timeout detects it."""
+    old = await async_open(proxy)
+    assert await async_roundtrip(old) == b"x"
+    proxy.blackhole_open_connections()
     old[1].write(b"y")
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.2):
             await old[0].read(1)
-    new = await async_open(link)
-    assert await async_echo_through(new) == b"x"
+    new = await async_open(proxy)
+    assert await async_roundtrip(new) == b"x"
     for _, writer in (old, new):
         writer.close()
 
 
-async def test_a_lossy_link_brings_all_in_order(link):
-    link.faults.packet_loss_rate = 0.3
-    link.faults.delay_seconds = 0.002
-    connection = await async_open(link)
+async def test_packet_loss_keeps_data_complete_and_in_order(proxy):
+    proxy.faults.packet_loss_rate = 0.3
+    proxy.faults.delay_seconds = 0.002
+    connection = await async_open(proxy)
     for number in range(10):
         data = str(number).encode()
-        assert await async_echo_through(connection, data) == data
+        assert await async_roundtrip(connection, data) == data
     connection[1].close()
 
 
-async def test_what_a_cut_holds_comes_after_it(link):
-    connection = await async_open(link)
-    link.faults.frozen = True
+async def test_frozen_data_is_delivered_after_the_freeze(proxy):
+    connection = await async_open(proxy)
+    proxy.faults.frozen = True
     connection[1].write(b"x")
     await asyncio.sleep(0.1)
-    link.faults.frozen = False
+    proxy.faults.frozen = False
     async with asyncio.timeout(5):
         assert await connection[0].read(1) == b"x"
     connection[1].close()
--- a/libraries/standins/tests/test_observe.py
+++ b/libraries/standins/tests/test_observe.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in of the balancer."""
+"""Tests of the load balancer stand-in."""
 
 import asyncio
 from types import SimpleNamespace
@@ -7,17 +7,20 @@
 from tarragonward_standins.observe import Balancer
 
 
-async def test_a_host_that_hangs_puts_off_no_other_hosts_check():
-    """One host's checks run into their time-out; another one is about to leave.
+async def test_hanging_host_does_not_delay_other_health_checks():
+    """The health checks of one host time out while another host is healthy.
 
-    Checked in rounds that wait for the slowest, the leaving one would be sent to for
-    longer than its notice, and refuse.
+    If rounds waited for the slowest check, a draining host would get requests for
+    longer than its drain notice, and refuse them.
     """
 
-    async def hang(request, writer):
+    async def async_hang(request, writer):
         await asyncio.sleep(30)
 
-    targets = {"well": ScriptedTarget(answer_with()), "hung": ScriptedTarget(hang)}
+    targets = {
+        "well": ScriptedTarget(answer_with()),
+        "hung": ScriptedTarget(async_hang),
+    }
     for target in targets.values():
         await target.async_setup()
     hosts = {
--- a/libraries/standins/tests/test_platform_checker.py
+++ b/libraries/standins/tests/test_platform_checker.py
@@ -1,4 +1,4 @@
-"""Tests that the checker finds each rule that a doctored day breaks."""
+"""Tests that the checker finds a violation of each rule."""
 
 import hashlib
 from dataclasses import replace
@@ -11,14 +11,14 @@
 from tarragonward_standins.platform_model_runner import build_stream_event
 from tarragonward_standins.platform_runner import Arrival, RateLimitPeriod
 
-NODE = Address("127.0.0.1", 1)
+HOST = Address("127.0.0.1", 1)
 VERSION = ConfigVersion(0.0, {"/a/": frozenset({"s"})}, {"k": "town"})
 
 
 def build_day(kind="non_idempotent", **plan):
-    """Return one request that was served as it should be."""
+    """Return a request, its attempt and its arrival, without violations."""
     plan = RequestPlan("/a/", kind, "h", "/a/x", body=b"in", prompt_id="7:9", **plan)
-    attempt = Attempt("r", NODE, 10.0, {"x-key": "k"}, status=200, is_complete=True)
+    attempt = Attempt("r", HOST, 10.0, {"x-key": "k"}, status=200, is_complete=True)
     attempt.answer = {"x-request-id": "r", "x-response-seal": "i.r"}
     attempt.ended_at = 11.0
     attempt.body = b"out"
@@ -35,28 +35,28 @@
     return request, attempt, arrival
 
 
-def judge(request, arrivals, steps=(VERSION,)):
+def check(request, arrivals, steps=(VERSION,)):
     return {rule for rule, _ in Checker([request], arrivals, list(steps)).check()}
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
-def test_what_is_served_right_breaks_nothing(kind):
+def test_correct_answer_has_no_violation(kind):
     request, _, arrival = build_day(kind)
-    assert judge(request, [arrival]) == set()
+    assert check(request, [arrival]) == set()
 
 
-def test_a_second_run_is_found():
+def test_second_run_is_a_violation():
     request, _, arrival = build_day()
-    assert judge(request, [arrival, replace(arrival)]) == {"TWICE"}
+    assert check(request, [arrival, replace(arrival)]) == {"TWICE"}
     idempotent, _, arrival = build_day("idempotent")
-    assert judge(idempotent, [arrival, replace(arrival)]) == set()
+    assert check(idempotent, [arrival, replace(arrival)]) == set()
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-def test_a_promise_that_does_not_hold_is_found(status):
+def test_run_despite_not_run_status_is_a_violation(status):
     request, attempt, arrival = build_day()
     attempt.status = status
-    assert judge(request, [arrival]) == {"REFUSED"}
+    assert check(request, [arrival]) == {"REFUSED"}
 
 
 @pytest.mark.parametrize(
@@ -67,19 +67,19 @@
         {"x-request-id": "r", "x-response-seal": "j.r"},
     ],
 )
-def test_an_answer_of_another_is_found(answer):
+def test_answer_of_another_request_is_a_violation(answer):
     request, attempt, arrival = build_day()
     attempt.answer = answer
-    assert judge(request, [arrival]) == {"MIXED"}
+    assert check(request, [arrival]) == {"MIXED"}
 
 
-def test_a_changed_answer_and_a_failure_made_a_success_are_found():
+def test_altered_answer_and_status_are_violations():
     request, attempt, arrival = build_day()
     attempt.body = b"ou"
-    assert judge(request, [arrival]) == {"MIXED"}
+    assert check(request, [arrival]) == {"MIXED"}
     request, attempt, arrival = build_day()
     arrival.status = 500
-    assert judge(request, [arrival]) == {"MIXED"}
+    assert check(request, [arrival]) == {"MIXED"}
 
 
 @pytest.mark.parametrize(
@@ -94,24 +94,24 @@
         {"headers": {"x-tenant": "town", "x-key": "k"}},
     ],
 )
-def test_what_no_client_asked_is_found(change):
+def test_request_that_no_client_sent_is_a_violation(change):
     request, _, arrival = build_day()
-    assert "UNASKED" in judge(request, [replace(arrival, **change)])
+    assert "UNASKED" in check(request, [replace(arrival, **change)])
 
 
-def test_a_run_by_another_service_is_found():
+def test_run_by_another_service_is_a_violation():
     request, _, arrival = build_day()
-    assert judge(request, [replace(arrival, service="other")]) == {"ROUTE"}
+    assert check(request, [replace(arrival, service="other")]) == {"ROUTE"}
 
 
-def test_a_run_long_after_the_runner_began_to_leave_is_found():
+def test_run_after_the_drain_period_is_a_violation():
     request, _, arrival = build_day()
-    assert judge(request, [replace(arrival, runner_withdrawn_at=8.0)]) == {"DRAIN"}
-    assert judge(request, [replace(arrival, runner_withdrawn_at=8.2)]) == set()
+    assert check(request, [replace(arrival, runner_withdrawn_at=8.0)]) == {"DRAIN"}
+    assert check(request, [replace(arrival, runner_withdrawn_at=8.2)]) == set()
 
 
 @pytest.mark.parametrize(
-    "pieces",
+    "received_events",
     [
         build_stream_event("7:9", 2, True),
         build_stream_event("7:9", 1, False) * 2 + build_stream_event("7:9", 2, True),
@@ -119,36 +119,36 @@
         build_stream_event("7:9", 1, False) + build_stream_event("8:9", 2, True),
     ],
 )
-def test_pieces_out_of_order_missing_or_joined_are_found(pieces):
+def test_stream_events_missing_or_out_of_order_are_violations(received_events):
     request, _, arrival = build_day("stream")
-    request.received_events = pieces
-    assert judge(request, [arrival]) == {"ORDER"}
+    request.received_events = received_events
+    assert check(request, [arrival]) == {"ORDER"}
 
 
-def test_a_denial_of_what_every_version_allows_is_found():
+def test_denial_of_a_route_allowed_by_all_versions_is_a_violation():
     request, attempt, _ = build_day()
     attempt.status = 404
-    assert judge(request, []) == {"CONFIG"}
+    assert check(request, []) == {"CONFIG"}
     other = ConfigVersion(7.0, {}, {"k": "town"})
-    assert judge(request, [], [other, replace(VERSION, acknowledged_at=7.5)]) == {
+    assert check(request, [], [other, replace(VERSION, acknowledged_at=7.5)]) == {
         "CONFIG"
     }
-    assert judge(request, [], [other, replace(VERSION, acknowledged_at=8.5)]) == set()
+    assert check(request, [], [other, replace(VERSION, acknowledged_at=8.5)]) == set()
 
 
-def test_requests_lost_held_or_at_work_for_nobody_are_found():
+def test_lost_late_and_abandoned_requests_are_violations():
     lost = build_day()
     lost[1].status, lost[1].is_complete = 0, False
-    assert judge_many(lost) == {"LOST"}
+    assert check_many(lost) == {"LOST"}
     held = build_day(timeout_seconds=0.2)
-    assert judge_many(held) == {"CONFIG"}
+    assert check_many(held) == {"CONFIG"}
     gone = build_day()
     gone[1].status, gone[1].is_complete, gone[1].has_disconnected = 0, False, True
     gone[1].ended_at = 10.2
-    assert judge_many(gone) == {"GONE"}
+    assert check_many(gone) == {"GONE"}
 
 
-def judge_many(day, count=5):
+def check_many(day, count=5):
     request, attempt, arrival = day
     requests, arrivals = [], []
     for number in range(count):
@@ -160,20 +160,20 @@
     return {rule for rule, _ in Checker(requests, arrivals, [VERSION]).check()}
 
 
-def test_an_event_that_tells_of_new_weights_is_the_event_that_it_was():
+def test_weights_field_of_an_event_is_ignored():
     request, _, arrival = build_day("stream")
     first, second = (
         build_stream_event("7:9", 1, False),
         build_stream_event("7:9", 2, True),
     )
     request.received_events = first + b"x-weight-versions: 2\n" + second
-    assert judge(request, [arrival]) == set()
+    assert check(request, [arrival]) == set()
     request.received_events = first + b"x-weight-versions: two\n" + second
-    assert judge(request, [arrival]) == {"ORDER"}
+    assert check(request, [arrival]) == {"ORDER"}
 
 
 def build_crashes(count, at):
-    """Return arrivals of one request that end a runner each, then later ones."""
+    """Return arrivals of one request that crash three runners, then later ones."""
     request, _, arrival = build_day("idempotent")
     ended = [
         replace(arrival, runner_id=f"i{number}", runner_crashed_at=10.0 + number)
@@ -183,15 +183,15 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "at", "broken"),
+    ("count", "at", "is_violation"),
     [(3, 16.0, False), (4, 16.0, True), (9, 14.9, False)],
 )
-def test_a_request_that_ended_three_runners_and_is_sent_on_is_found(count, at, broken):
-    assert ("BUDGET" in judge(*build_crashes(count, at))) == broken
+def test_resending_after_three_crashes_is_a_violation(count, at, is_violation):
+    assert ("BUDGET" in check(*build_crashes(count, at))) == is_violation
 
 
 @pytest.mark.parametrize(
-    ("count", "told", "stable_at", "broken"),
+    ("count", "is_announced", "arrival_offset", "is_violation"),
     [
         (11, True, 4.0, False),
         (12, True, 4.0, True),
@@ -199,13 +199,16 @@
         (12, True, 2.0, False),
     ],
 )
-def test_a_runner_that_gets_more_than_its_limit_is_found(
-    count, told, stable_at, broken
+def test_exceeding_an_announced_limit_is_a_violation(
+    count, is_announced, arrival_offset, is_violation
 ):
     request, attempt, arrival = build_day("idempotent")
-    named_at = 10.1 if told else None
+    named_at = 10.1 if is_announced else None
     first = replace(arrival, at=10.1, limit_announced_at=named_at)
-    arrivals = [first, *(replace(arrival, at=10.0 + stable_at) for _ in range(count))]
-    span = RateLimitPeriod("i", 1.0, 10.0)
-    checker = Checker([request], arrivals, [VERSION], limits=[span])
-    assert ("LIMIT" in {rule for rule, _ in checker.check()}) == broken
+    arrivals = [
+        first,
+        *(replace(arrival, at=10.0 + arrival_offset) for _ in range(count)),
+    ]
+    period = RateLimitPeriod("i", 1.0, 10.0)
+    checker = Checker([request], arrivals, [VERSION], limits=[period])
+    assert ("LIMIT" in {rule for rule, _ in checker.check()}) == is_violation
--- a/libraries/standins/tests/test_platform_engine.py
+++ b/libraries/standins/tests/test_platform_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the published pass model, and of settings templates."""
+"""Tests of the platform's pass model and of settings templates."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def run(engine, until=10_000):
-    """Play passes until no work is left; return events as (time, work id, tokens)."""
+    """Run passes until idle; return events as (time, request id, tokens)."""
     now, events = 0.0, []
     for _ in range(until):
         if not engine.has_work:
@@ -27,8 +27,8 @@
     raise AssertionError("the engine never ends")
 
 
-def test_a_prompt_alone_is_read_in_the_published_time():
-    """200,000 tokens: 98 steps of a chunk, and the pairs of the whole prompt."""
+def test_single_prompt_takes_the_specified_time():
+    """200,000 tokens: 98 chunks, and the attention pairs of the whole prompt."""
     engine = PassEngine(SIZES)
     engine.add(PassWork("w", 200_000, 47))
     (first, _, _), (last, _, tokens) = run(engine)
@@ -40,8 +40,8 @@
     assert (last - first, tokens) == (pytest.approx(46 * step / 1000, rel=1e-4), 46)
 
 
-def test_a_long_read_holds_the_next_event_of_a_writer():
-    """A pass with a writer makes all its steps, each with a chunk of the long read."""
+def test_long_prefill_delays_concurrent_decoding():
+    """A pass with a decoding request runs all steps, each with a prefill chunk."""
     alone, beside = PassEngine(SIZES), PassEngine(SIZES)
     for engine in (alone, beside):
         engine.add(PassWork("short", 1_000, 461, urgency=0))
@@ -54,18 +54,17 @@
     assert measure(run(beside)) > 5 * measure(run(alone))
 
 
-def test_the_newest_share_of_a_joint_prompt_is_read_first():
-    """An older share and a whole prompt wait until a newer share is read.
+def test_newest_part_of_a_split_prompt_is_prefilled_first():
+    """An older part and an unsplit prompt wait until a newer part is prefilled.
 
-    So the runners did it: their own shares of joint prompts and those they read for
-    others alike. The first event of the older prompt comes later by all of the newer
-    share.
+    The platform's runners behave so, both with the leader's own part and with parts for
+    others. The newer part delays the first event of the older prompt.
     """
     engine = PassEngine(SIZES)
-    whole = PassWork("whole", 40_000, 1)
+    unsplit = PassWork("whole", 40_000, 1)
     older = PassWork("older", 400_000, 1, part_tokens=50_000, pending_parts=1)
     newer = PassWork("newer", 400_000, 0, part_tokens=50_000, is_part=True)
-    for work in (whole, older):
+    for work in (unsplit, older):
         engine.add(work)
     engine.end_pass(engine.begin_pass())
     engine.add(newer)
@@ -75,7 +74,7 @@
     assert [work.id for work in dict.fromkeys(done)] == ["newer", "older", "whole"]
 
 
-def test_the_more_urgent_waits_less():
+def test_urgent_request_runs_first():
     engine = PassEngine(PassSizes(slots=1))
     for number, urgency in enumerate((5, 5, 0)):
         engine.add(PassWork(f"w{number}", 5_000, 10, urgency))
@@ -83,10 +82,10 @@
     assert order[0] == "w2"
 
 
-def test_memory_is_not_promised_twice_and_the_newest_yields():
+def test_newest_request_is_preempted_if_memory_runs_out():
     engine = PassEngine(PassSizes(memory_tokens=10_000))
-    works = [PassWork(f"w{n}", 4_900, 600) for n in range(2)]
-    for work in works:
+    requests = [PassWork(f"w{n}", 4_900, 600) for n in range(2)]
+    for work in requests:
         engine.add(work)
     engine.begin_pass()
     assert len(engine.running) == 2
@@ -95,7 +94,7 @@
     assert sum(tokens for _, work_id, tokens in events if work_id == "w0") == 600
 
 
-def test_tickets_wait_in_turn_are_granted_and_expire():
+def test_reservations_wait_are_granted_and_expire():
     engine = PassEngine(PassSizes(memory_tokens=100))
     assert engine.reserve("a", 101, 1.0, True, 0.0) == 400
     assert engine.reserve("a", 60, 1.0, False, 0.0) == 200
@@ -110,7 +109,7 @@
     assert engine.free_tokens == 100
 
 
-def test_a_template_is_filled_in_as_the_platform_does():
+def test_settings_template_is_rendered():
     fields = {"a": {"b": [1, 2]}, "t": True, "none": None, "m": {"x": 1, "y": 2}}
     template = (
         "{{a.b}} {{a.b.1}} {{a|json}} [{{none}}] {{#m}}{{@}}={{.}}{{,}}{{/m}}"
--- a/libraries/standins/tests/test_platform_model_runner.py
+++ b/libraries/standins/tests/test_platform_model_runner.py
@@ -1,4 +1,4 @@
-"""Tests of model runners that read a prompt together, when one or its memory goes."""
+"""Tests of model runners that split a prompt, if a runner or its memory is lost."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 async def pair():
-    """Two runners: the first is asked, the second holds a part of the prompt."""
+    """Two runners: the first gets the request, the second prefills a part."""
     store, runners_by_address, arrivals = PlatformStore(), {}, []
     pair = [
         ModelRunner(
@@ -53,7 +53,7 @@
         return await reader.read()
 
 
-async def test_a_reservation_that_ends_under_its_request_cuts_the_request_off(pair):
+async def test_expired_reservation_aborts_its_request(pair):
     first, second = pair
     reserve(second, "t", hold=0.5)
     reader, writer = await async_send(first, f"{second.address}/t")
@@ -63,10 +63,8 @@
     writer.close()
 
 
-async def test_a_runner_that_dies_stalls_the_answer_that_needs_its_memory(
-    pair, monkeypatch
-):
-    """The answer is being written; it stands still, then breaks off."""
+async def test_dead_helper_stalls_then_aborts_the_answer(pair, monkeypatch):
+    """The answer is being streamed; it stalls and is then aborted."""
     monkeypatch.setattr(runners, "STALL_SECONDS", 0.3)
     first, second = pair
     reserve(second, "t", hold=20.0)
@@ -79,9 +77,7 @@
     writer.close()
 
 
-async def test_a_runner_that_dies_before_the_answer_has_begun_is_named(
-    pair, monkeypatch
-):
+async def test_runner_dead_before_the_answer_is_reported(pair, monkeypatch):
     monkeypatch.setattr(runners, "STALL_SECONDS", 0.1)
     first, second = pair
     reserve(second, "t", hold=20.0)
@@ -98,7 +94,7 @@
     writer.close()
 
 
-async def test_a_second_request_on_a_reservation_in_use_is_noted(pair):
+async def test_second_use_of_a_reservation_is_recorded(pair):
     first, second = pair
     reserve(second, "t", hold=20.0)
     sent = [await async_send(first, f"{second.address}/t")]
@@ -112,7 +108,7 @@
         writer.close()
 
 
-async def test_new_weights_are_told_by_the_next_event(pair):
+async def test_new_weights_are_announced_with_the_next_event(pair):
     runner = pair[0]
     reader, writer = await async_send(runner, prompt=1_000, answer=460)
     async with asyncio.timeout(WAIT_SECONDS):
