--- a/libraries/bench/tarragonward_bench/platform_troubles.py
+++ b/libraries/bench/tarragonward_bench/platform_troubles.py
@@ -123,7 +123,7 @@
         await playing
         await asyncio.gather(*fault_tasks)
         await self._async_wait_released()
-        report = self._day.judge()
+        report = self._day.build_report()
         excused: set[str] = set()
         for kind in self.drawn:
             excused |= EXCUSED_RULES_BY_FAULT.get(kind, frozenset())
--- a/libraries/standins/tarragonward_standins/observe.py
+++ b/libraries/standins/tarragonward_standins/observe.py
@@ -82,7 +82,7 @@
     await site.async_publish(base, [operation])
     for host in site.hosts:
         while True:
-            status = await site.async_ask_operators(host, "/v1/status")
+            status = await site.async_query_operators(host, "/v1/status")
             if status["configuration_number"] > base:
                 break
             await asyncio.sleep(POLL_SECONDS)
--- a/libraries/standins/tarragonward_standins/platform_clients.py
+++ b/libraries/standins/tarragonward_standins/platform_clients.py
@@ -261,8 +261,10 @@
             attempt.first_event_at = attempt.first_event_at or now
             request.first_event_at = request.first_event_at or now
             # Only complete events count; a partial one is requested again.
-            whole = attempt.body.rpartition(EVENT_END)
-            request.received_events = earlier_events + whole[0] + whole[1]
+            complete_events = attempt.body.rpartition(EVENT_END)
+            request.received_events = (
+                earlier_events + complete_events[0] + complete_events[1]
+            )
 
 
 def _split(address: Address) -> tuple[str, int]:
--- a/libraries/standins/tarragonward_standins/platform_day.py
+++ b/libraries/standins/tarragonward_standins/platform_day.py
@@ -74,9 +74,9 @@
             while loop.time() < end_at:
                 group.create_task(self._async_request(self._draw_plan()))
                 await asyncio.sleep(self._random.expovariate(rate))
-        return self.judge()
+        return self.build_report()
 
-    def judge(self) -> DayReport:
+    def build_report(self) -> DayReport:
         """Return the results of all requests so far."""
         report = DayReport(violations=self._site.check())
         for request in self._site.requests:
--- a/libraries/standins/tarragonward_standins/platform_site.py
+++ b/libraries/standins/tarragonward_standins/platform_site.py
@@ -193,11 +193,18 @@
 
     def check(self) -> list[tuple[str, str]]:
         """Return the violations found in all requests so far."""
-        tickets = [r for model in self.models for r in model.reservation_log.records]
+        reservations = [
+            r for model in self.models for r in model.reservation_log.records
+        ]
         now = asyncio.get_running_loop().time()
         limits = [period for runner in self._runners for period in runner.limits]
         return Checker(
-            self.requests, self.arrivals, self.config_versions, tickets, limits, now
+            self.requests,
+            self.arrivals,
+            self.config_versions,
+            reservations,
+            limits,
+            now,
         ).check()
 
     @property
--- a/libraries/standins/tarragonward_standins/site.py
+++ b/libraries/standins/tarragonward_standins/site.py
@@ -280,7 +280,7 @@
             log = (self.folder / f"{name}.log").read_text("utf-8", "replace")
             raise RuntimeError(f"{name} ended: {log[-MAX_LOG_EXCERPT_CHARS:]}")
 
-    async def async_ask_operators(
+    async def async_query_operators(
         self, name: str, path: str, method: str = "GET"
     ) -> Any:
         """Send a request to an operator route of a host and return the JSON."""
--- a/libraries/standins/tests/test_platform_model_runner.py
+++ b/libraries/standins/tests/test_platform_model_runner.py
@@ -31,9 +31,9 @@
         await runner.async_unload()
 
 
-def reserve(runner, ticket, hold):
+def reserve(runner, reservation_id, hold):
     now = asyncio.get_running_loop().time()
-    assert runner.engine.reserve(ticket, 40_000, hold, False, now) == 200
+    assert runner.engine.reserve(reservation_id, 40_000, hold, False, now) == 200
 
 
 async def async_send(runner, helper="", prompt=60_000, answer=20_000):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -177,5 +177,5 @@
 
 
 async def async_get_number(site, name):
-    status = await site.async_ask_operators(name, "/v1/status")
+    status = await site.async_query_operators(name, "/v1/status")
     return status["configuration_number"]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -24,7 +24,9 @@
 
 async def async_get_active_numbers(site, names=None):
     names = names or list(site.hosts)
-    responses = [site.async_ask_operators(name, "/v1/configuration") for name in names]
+    responses = [
+        site.async_query_operators(name, "/v1/configuration") for name in names
+    ]
     return [item["number"] for item in await asyncio.gather(*responses)]
 
 
@@ -70,7 +72,7 @@
     await async_wait_active(site, 1)
     await asyncio.sleep(0.5)
     responses = [
-        await site.async_ask_operators(n, "/v1/configuration") for n in site.hosts
+        await site.async_query_operators(n, "/v1/configuration") for n in site.hosts
     ]
     assert (
         len(
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -270,7 +270,7 @@
     ) as stream:
         assert stream.status == 200
     async with asyncio.timeout(10):
-        while (await site.async_ask_operators(host.name, "/v1/status"))["in_flight"]:
+        while (await site.async_query_operators(host.name, "/v1/status"))["in_flight"]:
             await asyncio.sleep(0.01)
     families = await async_read_metrics(host)
     request_counts = {
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,7 +11,7 @@
 
 
 async def async_get_states(site, name):
-    status = await site.async_ask_operators(name, "/v1/status")
+    status = await site.async_query_operators(name, "/v1/status")
     return {member["name"]: member["state"] for member in status["members"]}
 
 
--- a/tests/test_platform_day.py
+++ b/tests/test_platform_day.py
@@ -152,7 +152,7 @@
             while any(model.engine.reservations for model in site.models[1:]):
                 await asyncio.sleep(0.05)
     await crash_task
-    report = day.judge()
+    report = day.build_report()
     assert any(model.reservation_log.records for model in site.models)
     assert not report.violations, format_failure(site, report)
 
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -136,7 +136,7 @@
 async def async_wait_in_flight(site):
     async with asyncio.timeout(10):
         while True:
-            status = await site.async_ask_operators(HOST, "/v1/status")
+            status = await site.async_query_operators(HOST, "/v1/status")
             if status["in_flight"]:
                 return
             await asyncio.sleep(0.01)
