--- a/libraries/standins/tarragonward_standins/platform_checker.py
+++ b/libraries/standins/tarragonward_standins/platform_checker.py
@@ -17,8 +17,8 @@
     "Checker",
     "ConfigVersion",
     "Rule",
-    "find_crashed_runners",
     "count_max_in_window",
+    "find_crashed_runners",
 ]
 
 CONFIG_APPLY_SECONDS = 2.0
