--- a/libraries/gateway/tarragonward_gateway/const.py
+++ b/libraries/gateway/tarragonward_gateway/const.py
@@ -76,10 +76,10 @@
 SOURCE_RETRY_LIMIT_SECONDS = 5.0
 # A peer that stays ahead for longer shows that this host's watch is dead.
 BEHIND_GRACE_SECONDS = 0.7
-# A starting host that is no seed leaves the first reads of the source to the seeds for
-# START_WAIT_SECONDS, and waits on while peers send it records, up to
-# MAX_START_WAIT_SECONDS in total. A running seed answers the first hello well within
-# SEED_ANSWER_SECONDS.
+# A starting host that is no seed defers its first read of the source, leaving it to the
+# seeds, for SEED_ANSWER_SECONDS; if it hears a peer, until START_WAIT_SECONDS after its
+# start; and on while peers send it records, up to MAX_START_WAIT_SECONDS in total. A
+# running seed answers the first hello well within SEED_ANSWER_SECONDS.
 SEED_ANSWER_SECONDS = 0.05
 START_WAIT_SECONDS = 0.2
 START_PULL_WAIT_SECONDS = 0.5
@@ -202,7 +202,9 @@
 ROUTE_SUSPECTS = "/suspects"
 
 # A target's first event may take this many times the predicted time plus the route's
-# aim, and a later event this many times the route's pause aim, each with a minimum.
+# aim, which counts as at least SILENCE_MIN_FIRST_SECONDS. A later event may take this
+# many times the pause aim, at least SILENCE_MIN_PAUSE_SECONDS, but a target is never
+# abandoned for silence once its answer is being streamed to the caller.
 SILENCE_FIRST_EVENT_FACTOR = 3.0
 SILENCE_PAUSE_FACTOR = 4.0
 SILENCE_MIN_FIRST_SECONDS = 0.5
--- a/libraries/gateway/tarragonward_gateway/following.py
+++ b/libraries/gateway/tarragonward_gateway/following.py
@@ -145,7 +145,10 @@
 
 
 class Follower:
-    """Follow the source with few calls, and the peers while it does not answer.
+    """Follow the source with few calls, and pull from peers with newer records.
+
+    A host pulls when it starts, as a standby, while the source does not answer it, and
+    when its own data stays behind that of a peer.
 
     Each call has a price, and each change ends one watch per host. So the more hosts
     there are, the longer each watch lasts; one of them ends about every second. A peer
@@ -163,7 +166,8 @@
         # If all hosts of a large fleet read all records at a simultaneous start, the
         # source refuses most calls and the fleet serves only seconds later. So hosts
         # with a start wait let others read first, and pull from those; the wait starts
-        # again with each page of a read. Without peers they read after the wait.
+        # again with each page of a read. A host that hears no peer reads after
+        # SEED_ANSWER_SECONDS.
         self._defers_first_read = start_wait > 0.0
         self._start_wait = start_wait
         self._pause_until = now + min(start_wait, c.SEED_ANSWER_SECONDS)
@@ -306,8 +310,8 @@
 
         A watch may never be answered although the source answers others again. A host
         whose peers have the same problem, or are cut off, would use replaced data until
-        its watch ends, up to 12 s later. In a healthy fleet some host's watch ends
-        every WATCH_STAGGER_SECONDS and confirms the data of all, so an old
+        its watch ends, up to MAX_WATCH_SECONDS later. In a healthy fleet some host's
+        watch ends every WATCH_STAGGER_SECONDS and confirms the data of all, so an old
         confirmation reveals the fault.
         """
         if confirmed_age <= c.MAX_CONFIRMED_AGE_SECONDS or not self._is_watching:
--- a/libraries/gateway/tarragonward_gateway/placing.py
+++ b/libraries/gateway/tarragonward_gateway/placing.py
@@ -22,8 +22,8 @@
     """Tracks the targets that a request was sent to and chooses the next one.
 
     abandoned is the last target that was abandoned while it may have been working on
-    the request. is_suspect: targets have crashed while running the request, so it is
-    sent where no other request is in progress.
+    the request. is_suspect: the verdict on the request is ALONE, so it is sent to the
+    target with the least known work in progress.
     """
 
     def __init__(
--- a/libraries/gateway/tarragonward_gateway/publications.py
+++ b/libraries/gateway/tarragonward_gateway/publications.py
@@ -50,7 +50,7 @@
 
 
 class PublicationTask:
-    """Fetches records from the source or, if it does not answer, from peers."""
+    """Fetches records from the source, and from peers that have newer ones."""
 
     def __init__(
         self,
--- a/libraries/gateway/tarragonward_gateway/targets.py
+++ b/libraries/gateway/tarragonward_gateway/targets.py
@@ -57,7 +57,7 @@
     tried: Collection[str] = ()
     # The engine that has to answer, if that is fixed.
     leader: str = ""
-    # Whether targets have crashed while running the request.
+    # Whether the verdict on the request is ALONE.
     is_suspect: bool = False
 
     def allows(self, target: RegisteredTarget) -> bool:
--- a/libraries/membership/tarragonward_membership/members.py
+++ b/libraries/membership/tarragonward_membership/members.py
@@ -26,7 +26,10 @@
     """A host's entry in the host list and its newest record, kept by address.
 
     record is None until a first record arrives; until then is_unreachable says that a
-    probe of the listed host failed. A suspected host is declared dead at suspect_until.
+    probe of the listed host failed, and one such failure makes it dead without
+    suspicion. last_seen_at is when the host last sent its record, or a newer one was
+    applied, which may come from another host. A suspected host is declared dead at
+    suspect_until.
     """
 
     address: Address
--- a/libraries/placement/tarragonward_placement/const.py
+++ b/libraries/placement/tarragonward_placement/const.py
@@ -106,11 +106,11 @@
 # first engine of the order that all hosts share, falling to none on the last.
 PREFILL_ENGINE_COST = 0.004
 LONG_PROMPT_POSITION_COST = 0.15
-# Packing: a short prompt on an engine beyond its pool costs the distance as a share of
-# all engines, so one engine of twenty costs a twentieth of a late answer. An answer
-# from another failure domain costs less than a late one, so that a full domain spills
-# over. Both, with a pool for each failure domain, add 0.009 +- 0.006 of a day's worth
-# (12 pairs of days, 8 hosts and 18 engines).
+# Packing: a short prompt costs PACKING_COST times the beyond_pool_share of its engine.
+# With twenty engines, each place after the pool costs a twentieth of a late answer to
+# the smallest prompt. An answer from another failure domain costs less than a late one,
+# so that a full domain spills over. Both, with a pool for each failure domain, add
+# 0.009 +- 0.006 of a day's worth (12 pairs of days, 8 hosts and 18 engines).
 PACKING_COST = 1.0
 CROSS_DOMAIN_COST = 0.1
 # Slots are left free for requests of other hosts that are not known yet.
@@ -160,9 +160,9 @@
 CONNECTION_FRESH_SECONDS = 0.5
 MAX_TRACKED_TARGETS = 4_096
 
-# Rate limits that targets advertise, divided among the hosts without shared state. They
-# are used up to LIMIT_SHARE, by LIMIT_HOSTS_PER_RATE hosts for each request per second
-# and LIMIT_MIN_HOSTS more.
+# Rate limits that targets advertise, divided among the hosts. Limits and host counts
+# are gossiped, but hosts need not agree on them. A limit is used up to LIMIT_SHARE, by
+# LIMIT_HOSTS_PER_RATE hosts for each request per second plus LIMIT_MIN_HOSTS hosts.
 LIMIT_SHARE = 0.9
 LIMIT_HOSTS_PER_RATE = 2.0
 LIMIT_MIN_HOSTS = 3
--- a/libraries/placement/tarragonward_placement/long_pool.py
+++ b/libraries/placement/tarragonward_placement/long_pool.py
@@ -1,4 +1,7 @@
-"""Limit the engines that long prompts use, and what short prompts use of these."""
+"""Limit the engines that long prompts use, and what short prompts use of these.
+
+Only Placement uses this, the placement of the daemon; the gateway does not.
+"""
 
 from __future__ import annotations
 
--- a/libraries/placement/tarragonward_placement/places.py
+++ b/libraries/placement/tarragonward_placement/places.py
@@ -49,8 +49,9 @@
 class EnginePosition:
     """An engine's position in the engine order of its failure domain.
 
-    beyond_pool_share is how many engines it lies beyond the domain's pool, the engines
-    that requests with the same pause limit need, as a share of all engines.
+    The domain's pool is its first engines, as many as the requests with the same pause
+    limit and one more need. beyond_pool_share is how many places after the pool the
+    engine comes, divided by the number of all engines; it is 0 within the pool.
     distance_to_end is its distance from the domain's last engine, 0 to 1. is_local is
     set if the engine is in the planning host's failure domain, or if that domain has no
     engines.
--- a/libraries/placement/tarragonward_placement/readings.py
+++ b/libraries/placement/tarragonward_placement/readings.py
@@ -64,7 +64,11 @@
 
 @dataclass(frozen=True)
 class _PrefillCandidate:
-    """One engine as a candidate for a part: when it ends, and its cost to others."""
+    """One engine as a candidate for a part: when it ends, and its cost to others.
+
+    cost is the weighted lateness that the part adds to other requests on the engine. A
+    plan's cost also has the prompt's own lateness and the costs of its engines.
+    """
 
     name: str
     usage: EngineUsage
@@ -105,11 +109,11 @@
 ) -> PrefillPlan | None:
     """Return the plan with the lowest predicted cost, or None for lack of memory.
 
-    All hosts use the same order of engines. Prompts that a single engine prefills are
-    packed at its front and long ones placed at its end, so that few engines have
-    requests that tolerate no pause. A host without fresh hints from peers spreads its
-    prompts instead: hosts that pack without knowing of each other would all choose the
-    same engines.
+    All hosts use the same order of engines. Prompts whose prefill takes one engine
+    less than MIN_PARALLEL_PREFILL_SECONDS are packed at its front and longer ones
+    placed at its end, so that few engines have requests that tolerate no pause. A host
+    without fresh hints from peers spreads its prompts instead: hosts that pack without
+    knowing of each other would all choose the same engines.
     """
     positions = rank_engines(need, engines, known, model, domains or {}, own_domain)
     if not has_fresh_hints:
--- a/libraries/placement/tarragonward_placement/relocation.py
+++ b/libraries/placement/tarragonward_placement/relocation.py
@@ -1,4 +1,4 @@
-"""Decide whether a stream migrates when its engine starts a long prefill."""
+"""Decide whether a request moves when its engine starts a long prefill."""
 
 from __future__ import annotations
 
@@ -16,7 +16,9 @@
 def should_migrate(
     wait_seconds: float, wait_elsewhere_seconds: float, limit_seconds: float
 ) -> bool:
-    """Return whether a stream is late where it is and in time elsewhere; seconds.
+    """Return whether a request is late where it is and in time elsewhere; seconds.
+
+    This also applies to a request whose stream has not started.
 
     A part of a long prompt is prefilled within one pass of the engine's decoding
     requests, so they all pause for its duration, and the caller of a short prompt
--- a/libraries/placement/tarragonward_placement/target_limits.py
+++ b/libraries/placement/tarragonward_placement/target_limits.py
@@ -22,8 +22,9 @@
 class HostView:
     """The hosts that a host knows by name, including itself and recently lost ones.
 
-    max_known_hosts is the highest number of hosts that any host knew recently; it is
-    never too low.
+    max_known_hosts is the highest number of hosts that this host knew, or a peer
+    reported, recently. Above the real number it leaves a part of a limit unused; below
+    it the hosts together could exceed the limit.
     """
 
     own: str
@@ -76,11 +77,12 @@
     """The rate limits that targets advertise, and when this host may send.
 
     The shares of all hosts add up to at most the rate, and their saved allowances to at
-    most the burst that targets accept within a few seconds, whatever each host has
-    heard. Few hosts use a target with a low limit. They are chosen by a hash of the
-    target's id, and a host is one of them only if it still would be with all the hosts
-    that it may not know. If the rate were divided among all hosts, then with 195 hosts
-    and one request per second none could ever send, or all would at once.
+    most the burst that targets accept within a few seconds, as long as they know the
+    present rate and no max_known_hosts is too low. Few hosts use a target with a low
+    limit: those that come first in a hash of the target and the host. A host assumes
+    that the hosts it does not know come before it, as otherwise too many hosts could
+    use the target. If the rate were divided among all hosts, then with 195 hosts and
+    one request per second none could ever send, or all would at once.
     """
 
     def __init__(self, rng: random.Random) -> None:
--- a/libraries/requests/tarragonward_requests/exchange.py
+++ b/libraries/requests/tarragonward_requests/exchange.py
@@ -114,11 +114,11 @@
 
 @dataclass(frozen=True)
 class SendTo:
-    """Send the request to a target that has not had it; resume after last_event_id.
+    """Send the request to a target; resume after last_event_id.
 
-    to_previous_target: send it to a target that has had it and is not at fault. This is
-    the last target, which did not run the request, or the one that was abandoned while
-    it was still working.
+    The target has not had the request, except with to_previous_target: then it is one
+    that has had it and is not at fault. This is the last target, which did not run the
+    request, or the one that was abandoned while it was still working.
     """
 
     last_event_id: int | None
--- a/libraries/requests/tarragonward_requests/suspects.py
+++ b/libraries/requests/tarragonward_requests/suspects.py
@@ -22,7 +22,7 @@
     """How a request may be sent."""
 
     CLEAR = "clear"
-    # Only to one target at a time, and to one without other requests in progress.
+    # Only to one target at a time, the one with the least known work in progress.
     ALONE = "alone"
     # Not now: another host is trying it, or this host lacks its peers' observations.
     LATER = "later"
@@ -137,7 +137,8 @@
     def __init__(self) -> None:
         self._suspects: dict[bytes, Suspect] = {}
         self._size_counts: Counter[int] = Counter()
-        # Suspects with enough crashes to be refused.
+        # Suspects with at least REFUSE_AFTER_CRASHES uncleared targets. evaluate() may
+        # still not refuse one, as count() leaves out those that a worse one explains.
         self._refused: set[bytes] = set()
 
     def __len__(self) -> int:
