--- a/libraries/placement/tarragonward_placement/const.py
+++ b/libraries/placement/tarragonward_placement/const.py
@@ -91,8 +91,7 @@
 LATENESS_RATIO_WEIGHT = 0.04
 MIN_BOUND_SECONDS = 0.02
 # A stream migrates if its next event is due after the first share of the bound, and on
-# another engine before the second share. Migration adds 0.016 +- 0.004 of a day's worth
-# (12 pairs of days, 18 engines).
+# another engine before the second share.
 MIGRATE_FROM_SHARE = 1.1
 MIGRATE_TO_SHARE = 0.8
 # A prefill of at least this length may stall the streams of its engine.
@@ -109,8 +108,7 @@
 # Packing: a short prompt costs PACKING_COST times the beyond_pool_share of its engine.
 # With twenty engines, each place after the pool costs a twentieth of a late answer to
 # the smallest prompt. An answer from another failure domain costs less than a late one,
-# so that a full domain spills over. Both, with a pool for each failure domain, add
-# 0.009 +- 0.006 of a day's worth (12 pairs of days, 8 hosts and 18 engines).
+# so that a full domain spills over.
 PACKING_COST = 1.0
 CROSS_DOMAIN_COST = 0.1
 # Slots are left free for requests of other hosts that are not known yet.
