--- a/libraries/bench/tarragonward_bench/path_engine.py
+++ b/libraries/bench/tarragonward_bench/path_engine.py
@@ -1,4 +1,4 @@
-"""Fake an engine that needs no time: what is measured with it is the path's own."""
+"""Fake engine without compute time, so that only the request path is measured."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PathEngine:
-    """Gives a first token at once, and one more to each stream in each interval."""
+    """Sends the first token at once, and one more per stream and interval."""
 
     def __init__(self, address: Address, interval_seconds: float) -> None:
         self._interval = interval_seconds
@@ -27,11 +27,11 @@
         self._server = HttpServer(address, self._async_handle)
 
     async def async_setup(self) -> None:
-        """Start to serve."""
+        """Start the server."""
         await self._server.async_setup()
 
     async def async_unload(self) -> None:
-        """Stop."""
+        """Stop the server."""
         await self._server.async_unload()
 
     async def _async_handle(self, request: HttpRequest, responder: Responder) -> None:
--- a/libraries/bench/tarragonward_bench/platform_demo.py
+++ b/libraries/bench/tarragonward_bench/platform_demo.py
@@ -1,4 +1,4 @@
-"""Play a small calm day on the stand-in of the users' platform, with real hosts."""
+"""Play a short day without faults on a stand-in of the users' platform."""
 
 from __future__ import annotations
 
